--- a/Source/Core/Scheduling/PromptCache.cpp
+++ b/Source/Core/Scheduling/PromptCache.cpp
@@ -13,11 +13,11 @@
         }
     }
 
-    void remember(prompt_cache& cache, const prompt_part& part)
+    void recordPart(prompt_cache& cache, const prompt_part& part)
     {
-        const auto known = cache.byId.find(part.id);
-        if (known != cache.byId.end()) {
-            cache.byUse.splice(cache.byUse.begin(), cache.byUse, known->second);
+        const auto cached = cache.byId.find(part.id);
+        if (cached != cache.byId.end()) {
+            cache.byUse.splice(cache.byUse.begin(), cache.byUse, cached->second);
             return;
         }
         cache.byUse.push_front({ part.id, part.tokens });
@@ -38,11 +38,11 @@
     return tokens;
 }
 
-void rememberParts(prompt_cache& cache, const std::vector<prompt_part>& parts)
+void recordParts(prompt_cache& cache, const std::vector<prompt_part>& parts)
 {
-    // The first part is shared most and leaves last.
+    // Recorded last to first: the first part is shared by most prompts, so it is evicted last.
     for (auto part = parts.rbegin(); part != parts.rend(); ++part)
-        remember(cache, *part);
+        recordPart(cache, *part);
     evictTo(cache, cache.capacityTokens);
 }
 
--- a/Source/Core/Scheduling/PromptCache.h
+++ b/Source/Core/Scheduling/PromptCache.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// What an engine probably keeps of earlier prompts: the parts that were sent to it, the least recently used leaving
-/// first when its memory is full.
+/// Estimate of an engine's prompt cache: the prompt parts that were sent to it, evicted least recently used first
+/// when the capacity is exceeded.
 
 #include "Scheduling/Work.h"
 
@@ -23,12 +23,13 @@
     std::unordered_map<std::string, std::list<entry>::iterator> byId;
 };
 
-/// @param cache what an engine keeps.
+/// @param cache estimate of the engine's prompt cache.
 /// @param parts the parts of a prompt in order.
-/// @return tokens at the prompt's start that need not be read again.
+/// @return number of tokens of the longest cached prefix, which the engine need not process again.
 uint32_t cachedTokens(const prompt_cache& cache, const std::vector<prompt_part>& parts);
 
-/// Records that an engine reads these parts now.
-void rememberParts(prompt_cache& cache, const std::vector<prompt_part>& parts);
+/// Records that a prompt of these parts was sent to the engine; evicts parts beyond the capacity.
+/// @param parts the parts of the prompt in order.
+void recordParts(prompt_cache& cache, const std::vector<prompt_part>& parts);
 
 } // namespace Scheduling
--- a/Source/Core/Scheduling/Scheduler.cpp
+++ b/Source/Core/Scheduling/Scheduler.cpp
@@ -7,153 +7,157 @@
 
 namespace {
 
-    /// Reading speed assumed of engines that have not answered yet.
+    /// Prefill time per prompt token that is assumed until a service has enough samples.
     constexpr double initialMsPerToken = 0.03;
-    /// Time to a first event beside reading the prompt, until it is learned: network, batching, the step that makes it.
+    /// Time to the first event besides the prefill (network, batching, first decoding step), assumed until it is measured.
     constexpr double initialBaseMs = 40;
-    constexpr double leastMsPerToken = 0.001;
-    constexpr double mostMsPerToken = 0.5;
-    constexpr double leastBaseMs = 5;
-    constexpr double mostBaseMs = 300;
-    /// Samples fade by this factor, so that about the last few hundred count.
-    constexpr double sampleFading = 0.995;
-    constexpr double fewestSamples = 20;
-    /// Only prompts of this length tell the reading speed apart from the rest.
-    constexpr double tellingTokens = 1500;
-    /// The speed of an unloaded engine is a low quantile of the samples: it follows lower ones fast, higher ones slowly.
-    constexpr double lowerRate = 0.1;
-    constexpr double higherRate = 0.01;
-    /// Time of an engine that one output token takes in a batch.
+    constexpr double minMsPerToken = 0.001;
+    constexpr double maxMsPerToken = 0.5;
+    constexpr double minBaseMs = 5;
+    constexpr double maxBaseMs = 300;
+    /// Each new sample scales the weight of the older ones by this factor, so that about the last few hundred count.
+    constexpr double sampleDecay = 0.995;
+    constexpr double minSamples = 20;
+    /// For shorter prompts the prefill time can't be told apart from the other delays.
+    constexpr double minTokensForSpeedSample = 1500;
+    /// The prefill speed of an unloaded engine is estimated as a low quantile of the samples: the estimate follows lower
+    /// samples fast and higher ones slowly.
+    constexpr double lowerSampleRate = 0.1;
+    constexpr double higherSampleRate = 0.01;
+    /// Engine time per output token of a batched request.
     constexpr double msPerOutputToken = 0.25;
-    /// Time of a plain request that waits for nothing.
-    constexpr double plainWorkMs = 25;
-    /// Time that each waiting or running model request adds through longer steps.
-    constexpr double msPerRunning = 1;
-    /// What a placement outside this zone or region must save, as it costs bytes on slow or paid links.
-    constexpr double otherZoneMs = 15;
-    constexpr double otherRegionMs = 180;
-    /// Each score is raised by a random part of up to this share, so that nodes which know nothing of each other's
-    /// placements don't all take the same of many equal endpoints.
-    constexpr double randomShare = 0.15;
-    /// Weight of a new sample in learned figures.
-    constexpr double learningRate = 0.15;
-    constexpr double pressureRate = 0.05;
-    constexpr double mostPressure = 30;
-    constexpr double pressureReturn = 0.01;
-    constexpr double leastSlowness = 0.3;
-    constexpr double mostSlowness = 8;
-    /// A stated load older than this says little.
-    constexpr milliseconds statedLoadAge { 1500 };
-    /// Failures in a row that eject an endpoint, and for how long; the pause doubles up to the longest.
+    /// Time of a plain service request that doesn't queue.
+    constexpr double plainRequestMs = 25;
+    /// Each waiting or running model request makes the engine's decoding steps longer by this time.
+    constexpr double msPerConcurrentRequest = 1;
+    /// An endpoint in another zone or region must save at least this much time, because its traffic crosses slow or
+    /// charged links.
+    constexpr double otherZonePenaltyMs = 15;
+    constexpr double otherRegionPenaltyMs = 180;
+    /// Each score is raised by a random share of up to this. Nodes don't know each other's placements; without the jitter
+    /// they would all choose the same of many equal endpoints.
+    constexpr double maxScoreJitter = 0.15;
+    /// Weight of a new sample in the latency factor of an endpoint and of a service.
+    constexpr double endpointFactorRate = 0.15;
+    constexpr double serviceFactorRate = 0.05;
+    constexpr double maxServiceFactor = 30;
+    constexpr double serviceFactorDecay = 0.01;
+    constexpr double minLatencyFactor = 0.3;
+    constexpr double maxLatencyFactor = 8;
+    /// An older reported load is ignored.
+    constexpr milliseconds maxStatedLoadAge { 1500 };
+    /// Consecutive failures that eject an endpoint, and for how long: the time doubles with each further failure, up to the
+    /// maximum.
     constexpr uint32_t failuresBeforeEjection = 3;
     constexpr milliseconds firstEjection { 500 };
-    constexpr milliseconds longestEjection { 4000 };
-    constexpr milliseconds unreachablePause { 1000 };
-    /// A warming endpoint is taken as so much slower.
-    constexpr double warmingSlowness = 1.5;
-    /// Share of an engine's memory that is taken to hold parts of prompts.
+    constexpr milliseconds maxEjection { 4000 };
+    constexpr milliseconds unreachableEjection { 1000 };
+    /// Predicted times of an endpoint in its warm-up are multiplied by this.
+    constexpr double warmUpFactor = 1.5;
+    /// Share of an engine's memory that is assumed to cache prompt parts.
     constexpr double cacheShareOfMemory = 0.6;
     constexpr uint64_t assumedMemoryTokens = 300000;
-    constexpr milliseconds shortestRetryAfter { 200 };
+    constexpr milliseconds minRetryAfter { 200 };
 
     double toMs(Common::duration time)
     {
         return std::chrono::duration<double, std::milli>(time).count();
     }
 
-    struct line {
+    struct linear_fit {
         double baseMs { initialBaseMs };
         double msPerToken { initialMsPerToken };
     };
 
-    /// The learned straight line through the samples of a service.
-    line readingLine(const scheduler_state& state, const Common::service_name& service)
+    /// @return the regression line through the samples of a service, or the initial values if there are too few samples.
+    linear_fit fitPrefillTime(const scheduler_state& state, const Common::service_name& service)
     {
-        const auto known = state.reading.find(service);
-        if (known == state.reading.end() || known->second.weight < fewestSamples)
+        const auto entry = state.prefillRegressions.find(service);
+        if (entry == state.prefillRegressions.end() || entry->second.weight < minSamples)
             return {};
-        const reading_model& model = known->second;
-        const double meanTokens = model.sumTokens / model.weight;
-        const double meanMs = model.sumMs / model.weight;
-        const double variance = model.sumTokensSquared / model.weight - meanTokens * meanTokens;
-        const double covariance = model.sumTokensMs / model.weight - meanTokens * meanMs;
-        line found;
-        found.msPerToken = std::clamp(variance > 1 ? covariance / variance : initialMsPerToken, leastMsPerToken, mostMsPerToken);
-        found.baseMs = std::clamp(meanMs - found.msPerToken * meanTokens, leastBaseMs, mostBaseMs);
-        return found;
+        const prefill_regression& regression = entry->second;
+        const double meanTokens = regression.sumTokens / regression.weight;
+        const double meanMs = regression.sumMs / regression.weight;
+        const double variance = regression.sumTokensSquared / regression.weight - meanTokens * meanTokens;
+        const double covariance = regression.sumTokensMs / regression.weight - meanTokens * meanMs;
+        linear_fit fit;
+        fit.msPerToken = std::clamp(variance > 1 ? covariance / variance : initialMsPerToken, minMsPerToken, maxMsPerToken);
+        fit.baseMs = std::clamp(meanMs - fit.msPerToken * meanTokens, minBaseMs, maxBaseMs);
+        return fit;
     }
 
-    /// @param ms the observed time.
-    /// @param unpressedMs the same without the pressure of the moment.
-    void learnReading(reading_model& model, double tokens, double ms, double unpressedMs)
+    /// @param tokens prompt tokens processed before the first event.
+    /// @param ms observed time to the first event.
+    /// @param normalizedMs the same divided by the service's latency factor.
+    void addPrefillSample(prefill_regression& regression, double tokens, double ms, double normalizedMs)
     {
-        model.weight = model.weight * sampleFading + 1;
-        model.sumTokens = model.sumTokens * sampleFading + tokens;
-        model.sumMs = model.sumMs * sampleFading + unpressedMs;
-        model.sumTokensSquared = model.sumTokensSquared * sampleFading + tokens * tokens;
-        model.sumTokensMs = model.sumTokensMs * sampleFading + tokens * unpressedMs;
-        if (tokens < tellingTokens)
+        regression.weight = regression.weight * sampleDecay + 1;
+        regression.sumTokens = regression.sumTokens * sampleDecay + tokens;
+        regression.sumMs = regression.sumMs * sampleDecay + normalizedMs;
+        regression.sumTokensSquared = regression.sumTokensSquared * sampleDecay + tokens * tokens;
+        regression.sumTokensMs = regression.sumTokensMs * sampleDecay + tokens * normalizedMs;
+        if (tokens < minTokensForSpeedSample)
             return;
-        const double sample = std::clamp((ms - initialBaseMs) / tokens, leastMsPerToken, mostMsPerToken);
-        if (model.unloadedMsPerToken <= 0)
-            model.unloadedMsPerToken = sample;
-        model.unloadedMsPerToken += (sample - model.unloadedMsPerToken) * (sample < model.unloadedMsPerToken ? lowerRate : higherRate);
+        const double sample = std::clamp((ms - initialBaseMs) / tokens, minMsPerToken, maxMsPerToken);
+        if (regression.unloadedMsPerToken <= 0)
+            regression.unloadedMsPerToken = sample;
+        regression.unloadedMsPerToken += (sample - regression.unloadedMsPerToken) * (sample < regression.unloadedMsPerToken ? lowerSampleRate : higherSampleRate);
     }
 
-    double distanceMs(const scheduler_state& state, const endpoint_state& endpoint)
+    double distancePenaltyMs(const scheduler_state& state, const endpoint_state& endpoint)
     {
         if (endpoint.facts.zone == state.here.zone)
             return 0;
         const auto region = state.here.regions.find(endpoint.facts.zone);
         const bool isNear = region != state.here.regions.end() && region->second == state.here.region;
-        return isNear ? otherZoneMs : otherRegionMs;
+        return isNear ? otherZonePenaltyMs : otherRegionPenaltyMs;
     }
 
-    double freshTokens(const endpoint_state& endpoint, const model_facts& model)
+    double countUncachedTokens(const endpoint_state& endpoint, const model_facts& model)
     {
         const uint32_t cached = cachedTokens(endpoint.cache, model.parts);
         return model.promptTokens > cached ? model.promptTokens - cached : 0;
     }
 
-    uint32_t othersWaiting(const endpoint_state& endpoint, Common::instant now)
+    uint32_t countRequestsOfOtherNodes(const endpoint_state& endpoint, Common::instant now)
     {
-        if (!endpoint.stated || now - endpoint.statedAt > statedLoadAge)
+        if (!endpoint.stated || now - endpoint.statedAt > maxStatedLoadAge)
             return 0;
         const uint32_t total = endpoint.stated->running + endpoint.stated->waiting;
         const auto own = static_cast<uint32_t>(endpoint.placed.size());
         return total > own ? total - own : 0;
     }
 
-    double pressureOf(const scheduler_state& state, const Common::service_name& service)
+    double serviceLatencyFactorOf(const scheduler_state& state, const Common::service_name& service)
     {
-        const auto known = state.pressure.find(service);
-        return known == state.pressure.end() ? 1 : known->second;
+        const auto found = state.serviceLatencyFactors.find(service);
+        return found == state.serviceLatencyFactors.end() ? 1 : found->second;
     }
 
-    double predictModelMs(const scheduler_state& state, const endpoint_state& endpoint, double fresh, Common::instant now)
+    double predictModelMs(const scheduler_state& state, const endpoint_state& endpoint, double uncachedTokens, Common::instant now)
     {
-        const line learned = readingLine(state, endpoint.facts.service);
-        const double reading = (endpoint.waitingTokens + fresh) * learned.msPerToken;
-        const double batch = (static_cast<double>(endpoint.placed.size()) + othersWaiting(endpoint, now)) * msPerRunning;
-        return (learned.baseMs + reading + batch) * endpoint.slowness * pressureOf(state, endpoint.facts.service);
+        const linear_fit fit = fitPrefillTime(state, endpoint.facts.service);
+        const double prefillMs = (endpoint.waitingTokens + uncachedTokens) * fit.msPerToken;
+        const double batchMs = (static_cast<double>(endpoint.placed.size()) + countRequestsOfOtherNodes(endpoint, now)) * msPerConcurrentRequest;
+        return (fit.baseMs + prefillMs + batchMs) * endpoint.latencyFactor * serviceLatencyFactorOf(state, endpoint.facts.service);
     }
 
     double predictPlainMs(const endpoint_state& endpoint, Common::instant now)
     {
-        const double ahead = static_cast<double>(endpoint.placed.size()) + othersWaiting(endpoint, now);
-        const double rounds = std::floor(ahead / endpoint.facts.slots) + 1;
-        return plainWorkMs * rounds * endpoint.slowness + ahead;
+        const double requestsAhead = static_cast<double>(endpoint.placed.size()) + countRequestsOfOtherNodes(endpoint, now);
+        const double rounds = std::floor(requestsAhead / endpoint.facts.slots) + 1;
+        return plainRequestMs * rounds * endpoint.latencyFactor + requestsAhead;
     }
 
-    double predictMs(const scheduler_state& state, const endpoint_state& endpoint, const work& item, double fresh, Common::instant now)
+    double predictMs(const scheduler_state& state, const endpoint_state& endpoint, const work& request, double uncachedTokens, Common::instant now)
     {
-        const double ms = item.model ? predictModelMs(state, endpoint, fresh, now) : predictPlainMs(endpoint, now);
-        return now < endpoint.warmFrom ? ms * warmingSlowness : ms;
+        const double ms = request.model ? predictModelMs(state, endpoint, uncachedTokens, now) : predictPlainMs(endpoint, now);
+        return now < endpoint.warmUpEnd ? ms * warmUpFactor : ms;
     }
 
-    bool isEligible(const endpoint_state& endpoint, const work& item, const placement_limits& limits)
+    bool isEligible(const endpoint_state& endpoint, const work& request, const placement_limits& limits)
     {
-        if (endpoint.facts.service != item.service || endpoint.facts.phase != Fleet::endpoint_phase::Ready)
+        if (endpoint.facts.service != request.service || endpoint.facts.phase != Fleet::endpoint_phase::Ready)
             return false;
         if (limits.onlyVersion && endpoint.facts.version != *limits.onlyVersion)
             return false;
@@ -164,43 +168,43 @@
 
     struct candidate {
         endpoint_state* endpoint { nullptr };
-        double fresh { 0 };
+        double uncachedTokens { 0 };
         double predicted { 0 };
         double score { 0 };
     };
 
-    candidate findBest(scheduler_state& state, const work& item, const placement_limits& limits, bool usesEjected, Common::instant now)
+    candidate findBest(scheduler_state& state, const work& request, const placement_limits& limits, bool includesEjected, Common::instant now)
     {
         candidate best;
         for (auto& [id, endpoint] : state.endpoints) {
-            if (!isEligible(endpoint, item, limits) || (!usesEjected && now < endpoint.ejectedUntil))
+            if (!isEligible(endpoint, request, limits) || (!includesEjected && now < endpoint.ejectedUntil))
                 continue;
             candidate next { &endpoint };
-            next.fresh = item.model ? freshTokens(endpoint, *item.model) : 0;
-            next.predicted = predictMs(state, endpoint, item, next.fresh, now);
-            next.score = (next.predicted + distanceMs(state, endpoint)) * (1 + randomShare * Common::uniformUnit(state.random));
+            next.uncachedTokens = request.model ? countUncachedTokens(endpoint, *request.model) : 0;
+            next.predicted = predictMs(state, endpoint, request, next.uncachedTokens, now);
+            next.score = (next.predicted + distancePenaltyMs(state, endpoint)) * (1 + maxScoreJitter * Common::uniformUnit(state.random));
             if (!best.endpoint || next.score < best.score)
                 best = next;
         }
         return best;
     }
 
-    placement record(scheduler_state& state, const candidate& chosen, const work& item, Common::instant now)
+    placement record(scheduler_state& state, const candidate& chosen, const work& request, Common::instant now)
     {
         const placement_id id { ++state.lastPlacement.value };
         placed_work placed;
-        placed.freshTokens = chosen.fresh;
+        placed.uncachedTokens = chosen.uncachedTokens;
         placed.sent = now;
         placed.predictedMs = chosen.predicted;
-        placed.pressure = item.model ? pressureOf(state, item.service) : 1;
-        placed.tokensAhead = chosen.endpoint->waitingTokens + chosen.fresh;
-        if (item.model) {
-            placed.outputTokens = item.model->expectedOutputTokens.value_or(item.model->mostOutputTokens);
-            rememberParts(chosen.endpoint->cache, item.model->parts);
+        placed.serviceLatencyFactor = request.model ? serviceLatencyFactorOf(state, request.service) : 1;
+        placed.tokensAhead = chosen.endpoint->waitingTokens + chosen.uncachedTokens;
+        if (request.model) {
+            placed.outputTokens = request.model->expectedOutputTokens.value_or(request.model->mostOutputTokens);
+            recordParts(chosen.endpoint->cache, request.model->parts);
         }
-        chosen.endpoint->waitingTokens += chosen.fresh;
+        chosen.endpoint->waitingTokens += chosen.uncachedTokens;
         chosen.endpoint->placed.emplace(id, placed);
-        return { chosen.endpoint->facts.id, chosen.endpoint->facts.address, id, chosen.predicted, chosen.fresh };
+        return { chosen.endpoint->facts.id, chosen.endpoint->facts.address, id, chosen.predicted, chosen.uncachedTokens };
     }
 
     endpoint_state* find(scheduler_state& state, const Common::endpoint_id& id)
@@ -209,54 +213,55 @@
         return found == state.endpoints.end() ? nullptr : &found->second;
     }
 
-    void learnRatio(double& learned, double ratio, double rate, double most)
+    void updateFactor(double& factor, double ratio, double rate, double maxFactor)
     {
-        learned = std::clamp(learned * (1 - rate) + learned * ratio * rate, leastSlowness, most);
+        factor = std::clamp(factor * (1 - rate) + factor * ratio * rate, minLatencyFactor, maxFactor);
     }
 
-    /// Learns from a time to a first event, or from a wait without one that is longer than predicted already.
-    void learn(scheduler_state& state, endpoint_state& endpoint, const placed_work& item, double actualMs)
+    /// @param actualMs time to the first event, or the time waited without one if it already exceeds the prediction.
+    void updateLatencyFactors(scheduler_state& state, endpoint_state& endpoint, const placed_work& placed, double actualMs)
     {
-        const double ratio = std::clamp(actualMs / std::max(1.0, item.predictedMs), leastSlowness, mostSlowness);
-        learnRatio(endpoint.slowness, ratio, learningRate, mostSlowness);
-        if (item.tokensAhead <= 0)
+        const double ratio = std::clamp(actualMs / std::max(1.0, placed.predictedMs), minLatencyFactor, maxLatencyFactor);
+        updateFactor(endpoint.latencyFactor, ratio, endpointFactorRate, maxLatencyFactor);
+        if (placed.tokensAhead <= 0)
             return;
-        double& pressure = state.pressure.try_emplace(endpoint.facts.service, 1).first->second;
-        // The ratio is to the pressure that the prediction was made with, which may have changed since.
-        learnRatio(pressure, ratio * item.pressure / pressure, pressureRate, mostPressure);
-        // Both the pressure and the line through the samples scale the prediction: the pressure is drawn to one.
-        pressure += (1 - pressure) * pressureReturn;
+        double& serviceFactor = state.serviceLatencyFactors.try_emplace(endpoint.facts.service, 1).first->second;
+        // The ratio refers to the service factor that the prediction used; that factor may have changed since.
+        updateFactor(serviceFactor, ratio * placed.serviceLatencyFactor / serviceFactor, serviceFactorRate, maxServiceFactor);
+        // Both this factor and the regression scale the prediction. Decaying the factor towards one keeps them from
+        // compensating for each other.
+        serviceFactor += (1 - serviceFactor) * serviceFactorDecay;
     }
 
-    void stopWaiting(endpoint_state& endpoint, placed_work& item)
+    void stopWaiting(endpoint_state& endpoint, placed_work& placed)
     {
-        if (item.hasBegun)
+        if (placed.hasBegun)
             return;
-        item.hasBegun = true;
-        endpoint.waitingTokens = std::max(0.0, endpoint.waitingTokens - item.freshTokens);
+        placed.hasBegun = true;
+        endpoint.waitingTokens = std::max(0.0, endpoint.waitingTokens - placed.uncachedTokens);
     }
 
     void eject(endpoint_state& endpoint, Common::instant now)
     {
-        const uint32_t doublings = std::min(endpoint.failuresInRow - failuresBeforeEjection, 3U);
-        const milliseconds pause = std::min(firstEjection * (1U << doublings), longestEjection);
+        const uint32_t doublings = std::min(endpoint.consecutiveFailures - failuresBeforeEjection, 3U);
+        const milliseconds pause = std::min(firstEjection * (1U << doublings), maxEjection);
         endpoint.ejectedUntil = now + pause;
     }
 
 } // namespace
 
-void noteEndpoint(scheduler_state& state, const Fleet::endpoint& item, Common::instant now)
+void noteEndpoint(scheduler_state& state, const Fleet::endpoint& endpoint, Common::instant now)
 {
-    auto known = state.endpoints.find(item.id);
-    if (known != state.endpoints.end() && known->second.facts.started == item.started && known->second.facts.address == item.address) {
-        known->second.facts = item;
+    auto found = state.endpoints.find(endpoint.id);
+    if (found != state.endpoints.end() && found->second.facts.started == endpoint.started && found->second.facts.address == endpoint.address) {
+        found->second.facts = endpoint;
         return;
     }
-    endpoint_state fresh;
-    fresh.facts = item;
-    fresh.cache.capacityTokens = static_cast<uint64_t>(cacheShareOfMemory * assumedMemoryTokens);
-    fresh.warmFrom = now + item.warmUpLeft;
-    state.endpoints[item.id] = std::move(fresh);
+    endpoint_state added;
+    added.facts = endpoint;
+    added.cache.capacityTokens = static_cast<uint64_t>(cacheShareOfMemory * assumedMemoryTokens);
+    added.warmUpEnd = now + endpoint.warmUpLeft;
+    state.endpoints[endpoint.id] = std::move(added);
 }
 
 void dropEndpoint(scheduler_state& state, const Common::endpoint_id& id)
@@ -264,60 +269,60 @@
     state.endpoints.erase(id);
 }
 
-tl::expected<placement, refusal> place(scheduler_state& state, const work& item, const placement_limits& limits, Common::instant now)
+tl::expected<placement, refusal> place(scheduler_state& state, const work& request, const placement_limits& limits, Common::instant now)
 {
-    candidate best = findBest(state, item, limits, false, now);
-    // All are ejected: any of them is better than none.
+    candidate best = findBest(state, request, limits, false, now);
+    // All eligible endpoints are ejected: using one of them is better than refusing the request.
     if (!best.endpoint)
-        best = findBest(state, item, limits, true, now);
+        best = findBest(state, request, limits, true, now);
     if (!best.endpoint)
-        return tl::unexpected(refusal { refusal_reason::NoEndpoint, shortestRetryAfter });
-    const double left = toMs(item.deadline - now);
+        return tl::unexpected(refusal { refusal_reason::NoEndpoint, minRetryAfter });
+    const double left = toMs(request.deadline - now);
     if (best.predicted > left) {
         const auto excess = milliseconds(static_cast<int64_t>(best.predicted - left));
-        return tl::unexpected(refusal { refusal_reason::TooLate, std::max(shortestRetryAfter, excess) });
+        return tl::unexpected(refusal { refusal_reason::TooLate, std::max(minRetryAfter, excess) });
     }
-    return record(state, best, item, now);
+    return record(state, best, request, now);
 }
 
 void noteBegun(scheduler_state& state, const Common::endpoint_id& endpoint, placement_id id, Common::instant now)
 {
-    endpoint_state* known = find(state, endpoint);
-    if (!known)
+    endpoint_state* found = find(state, endpoint);
+    if (!found)
         return;
-    const auto item = known->placed.find(id);
-    if (item == known->placed.end() || item->second.hasBegun)
+    const auto placed = found->placed.find(id);
+    if (placed == found->placed.end() || placed->second.hasBegun)
         return;
-    const double actualMs = toMs(now - item->second.sent);
-    learn(state, *known, item->second, actualMs);
-    if (item->second.freshTokens > 0)
-        learnReading(state.reading[known->facts.service], item->second.tokensAhead, actualMs, actualMs / item->second.pressure);
-    stopWaiting(*known, item->second);
+    const double actualMs = toMs(now - placed->second.sent);
+    updateLatencyFactors(state, *found, placed->second, actualMs);
+    if (placed->second.uncachedTokens > 0)
+        addPrefillSample(state.prefillRegressions[found->facts.service], placed->second.tokensAhead, actualMs, actualMs / placed->second.serviceLatencyFactor);
+    stopWaiting(*found, placed->second);
 }
 
 void noteEnded(scheduler_state& state, const Common::endpoint_id& endpoint, placement_id id, placement_end end, Common::instant now)
 {
-    endpoint_state* known = find(state, endpoint);
-    if (!known)
+    endpoint_state* found = find(state, endpoint);
+    if (!found)
         return;
-    const auto item = known->placed.find(id);
-    if (item == known->placed.end())
+    const auto placed = found->placed.find(id);
+    if (placed == found->placed.end())
         return;
-    const double waitedMs = toMs(now - item->second.sent);
-    if (!item->second.hasBegun && end == placement_end::Abandoned && waitedMs > item->second.predictedMs)
-        learn(state, *known, item->second, waitedMs);
-    stopWaiting(*known, item->second);
-    known->placed.erase(item);
+    const double waitedMs = toMs(now - placed->second.sent);
+    if (!placed->second.hasBegun && end == placement_end::Abandoned && waitedMs > placed->second.predictedMs)
+        updateLatencyFactors(state, *found, placed->second, waitedMs);
+    stopWaiting(*found, placed->second);
+    found->placed.erase(placed);
     switch (end) {
     case placement_end::Served:
-        known->failuresInRow = 0;
+        found->consecutiveFailures = 0;
         return;
     case placement_end::Unreachable:
-        known->ejectedUntil = now + unreachablePause;
+        found->ejectedUntil = now + unreachableEjection;
         return;
     case placement_end::Failed:
-        if (++known->failuresInRow >= failuresBeforeEjection)
-            eject(*known, now);
+        if (++found->consecutiveFailures >= failuresBeforeEjection)
+            eject(*found, now);
         return;
     case placement_end::NotRun:
     case placement_end::Abandoned:
@@ -327,19 +332,19 @@
 
 void noteStatedLoad(scheduler_state& state, const Common::endpoint_id& endpoint, const stated_load& load, Common::instant now)
 {
-    endpoint_state* known = find(state, endpoint);
-    if (!known)
+    endpoint_state* found = find(state, endpoint);
+    if (!found)
         return;
-    known->stated = load;
-    known->statedAt = now;
+    found->stated = load;
+    found->statedAt = now;
 }
 
-double engineMs(const scheduler_state& state, const Common::service_name& service, double fresh, const model_facts& model)
+double engineMs(const scheduler_state& state, const Common::service_name& service, double uncachedTokens, const model_facts& model)
 {
-    const auto known = state.reading.find(service);
-    const bool isLearned = known != state.reading.end() && known->second.unloadedMsPerToken > 0;
-    const double perToken = isLearned ? known->second.unloadedMsPerToken : initialMsPerToken;
-    return fresh * perToken + model.expectedOutputTokens.value_or(model.mostOutputTokens) * msPerOutputToken;
+    const auto found = state.prefillRegressions.find(service);
+    const bool isMeasured = found != state.prefillRegressions.end() && found->second.unloadedMsPerToken > 0;
+    const double perToken = isMeasured ? found->second.unloadedMsPerToken : initialMsPerToken;
+    return uncachedTokens * perToken + model.expectedOutputTokens.value_or(model.mostOutputTokens) * msPerOutputToken;
 }
 
 bool hasEndpoint(const scheduler_state& state, const Common::service_name& service)
--- a/Source/Core/Scheduling/Scheduler.h
+++ b/Source/Core/Scheduling/Scheduler.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// Chooses the endpoint of a request by its predicted time to the first event. Pure: no clock, no socket.
+/// Chooses the endpoint of a request by the predicted time to its first event. Pure functions: the time is passed in,
+/// nothing is sent.
 
 #include "Catalog/Catalog.h"
 #include "Common/Random.h"
@@ -17,58 +18,59 @@
 
 namespace Scheduling {
 
-/// Identifies one request at an endpoint among those of this node.
+/// Identifies one placement of a request at an endpoint; unique within this node.
 using placement_id = Common::strong_type<struct placement_id_tag, uint64_t>;
 
-/// A request of this node at an endpoint.
+/// A request that this node has sent to an endpoint and that hasn't ended.
 struct placed_work {
-    double freshTokens { 0 }; ///< Prompt tokens that the endpoint has to read.
-    double outputTokens { 0 }; ///< Expected.
+    double uncachedTokens { 0 }; ///< Prompt tokens that the endpoint has to process.
+    double outputTokens { 0 }; ///< Expected number.
     Common::instant sent;
-    double predictedMs { 0 };
-    double pressure { 1 }; ///< That the prediction was made with.
-    double tokensAhead { 0 }; ///< Prompt tokens to be read until its first event, its own included.
+    double predictedMs { 0 }; ///< Predicted time to the first event.
+    double serviceLatencyFactor { 1 }; ///< The factor that predictedMs was computed with.
+    double tokensAhead { 0 }; ///< Prompt tokens to process before its first event, its own included.
     bool hasBegun { false }; ///< Its first event or answer has arrived.
 };
 
-/// What this node knows of one endpoint.
+/// What this node has observed of one endpoint.
 struct endpoint_state {
     Fleet::endpoint facts;
     std::map<placement_id, placed_work> placed;
-    double waitingTokens { 0 }; ///< Fresh tokens of placed work that has not begun.
-    std::optional<stated_load> stated;
+    double waitingTokens { 0 }; ///< Uncached prompt tokens of placed requests without a first event.
+    std::optional<stated_load> stated; ///< Last load reported by the endpoint.
     Common::instant statedAt;
-    double slowness { 1 }; ///< Learned ratio of actual to predicted time.
+    double latencyFactor { 1 }; ///< Correction of predicted times, adapted to the observed ones.
     prompt_cache cache;
-    uint32_t failuresInRow { 0 };
+    uint32_t consecutiveFailures { 0 };
     Common::instant ejectedUntil;
-    Common::instant warmFrom; ///< When the endpoint's warm-up after its start ends.
+    Common::instant warmUpEnd; ///< End of the warm-up after the endpoint's start.
 };
 
-/// Where this node stands.
+/// Zone and region of this node, and the region of each zone.
 struct location {
     Common::zone_name zone;
     Common::region_name region;
     std::map<Common::zone_name, Common::region_name> regions;
 };
 
-/// Running regression of the time to a first event over the prompt tokens that had to be read before it.
-struct reading_model {
+/// Running linear regression of the time to the first event over the prompt tokens processed before it; old samples
+/// decay.
+struct prefill_regression {
     double weight { 0 };
     double sumTokens { 0 };
     double sumMs { 0 };
     double sumTokensSquared { 0 };
     double sumTokensMs { 0 };
-    double unloadedMsPerToken { 0 }; ///< Of an engine with nothing else to do; zero until known.
+    double unloadedMsPerToken { 0 }; ///< Prefill time per token of an otherwise idle engine; zero until measured.
 };
 
 struct scheduler_state {
     location here;
     std::map<Common::endpoint_id, endpoint_state> endpoints;
-    std::map<Common::service_name, reading_model> reading;
-    /// Lately observed ratio of actual to predicted time over all endpoints of a service: what other nodes send shows
-    /// only here, and a node meets each endpoint too seldom to learn it from that endpoint alone.
-    std::map<Common::service_name, double> pressure;
+    std::map<Common::service_name, prefill_regression> prefillRegressions;
+    /// Recent correction of predicted times over all endpoints of a service. It captures load caused by other nodes: a
+    /// single node uses each endpoint too rarely to measure that per endpoint.
+    std::map<Common::service_name, double> serviceLatencyFactors;
     Common::random_source random { 1 };
     placement_id lastPlacement;
 };
@@ -77,8 +79,8 @@
     Common::endpoint_id endpoint;
     std::string address;
     placement_id id;
-    double predictedMs { 0 };
-    double freshTokens { 0 };
+    double predictedMs { 0 }; ///< Predicted time to the first event.
+    double freshTokens { 0 }; ///< Prompt tokens that the endpoint has to process.
 };
 
 enum class refusal_reason {
@@ -91,55 +93,55 @@
     milliseconds retryAfter { 0 };
 };
 
-/// What a placement must avoid or respect.
+/// Constraints on the choice of an endpoint.
 struct placement_limits {
-    std::set<Common::endpoint_id> avoided; ///< Already tried.
+    std::set<Common::endpoint_id> avoided; ///< Endpoints that the request has already been tried at.
     std::optional<Common::version_name> onlyVersion;
     std::optional<Common::version_name> neverVersion;
 };
 
-/// Adds an endpoint or renews what is known of it. A restart forgets its load and cache.
-void noteEndpoint(scheduler_state& state, const Fleet::endpoint& item, Common::instant now);
-/// Forgets an endpoint.
+/// Adds or updates an endpoint. If it was restarted or its address changed, its load and cache estimates are reset.
+void noteEndpoint(scheduler_state& state, const Fleet::endpoint& endpoint, Common::instant now);
+/// Removes an endpoint and all that was recorded about it.
 void dropEndpoint(scheduler_state& state, const Common::endpoint_id& id);
 
-/// @param state what is known; the placement is recorded in it.
-/// @param item the request.
-/// @param limits what to avoid.
-/// @param now the present time.
-/// @return where it goes, or why it can't be served.
-tl::expected<placement, refusal> place(scheduler_state& state, const work& item, const placement_limits& limits, Common::instant now);
+/// Chooses the endpoint with the lowest predicted time, distance penalty included.
+/// @param state the endpoints; the placement is recorded in it.
+/// @param request the request to place.
+/// @param limits constraints on the choice.
+/// @param now current time.
+/// @return the placement, or why the request can't be served in time.
+tl::expected<placement, refusal> place(scheduler_state& state, const work& request, const placement_limits& limits, Common::instant now);
 
-/// The first event or the answer of a placed request arrived.
+/// Records that the first event or the answer of a placed request arrived.
 void noteBegun(scheduler_state& state, const Common::endpoint_id& endpoint, placement_id id, Common::instant now);
 
-/// How a placed request ended, as far as it speaks for or against the endpoint.
+/// How a placed request ended, as far as it counts for or against the endpoint.
 enum class placement_end {
     Served,
     NotRun, ///< The endpoint refused it.
-    Failed, ///< It broke off, answered nonsense or failed.
-    Unreachable, ///< No connection.
-    Abandoned, ///< Ended for a reason that says nothing of the endpoint.
+    Failed, ///< The answer was cut off, malformed or an error.
+    Unreachable, ///< No connection could be made.
+    Abandoned, ///< Ended for a reason unrelated to the endpoint.
 };
 
-/// A placed request ended.
+/// Records the end of a placed request; repeated failures eject the endpoint for a while.
 void noteEnded(scheduler_state& state, const Common::endpoint_id& endpoint, placement_id id, placement_end end, Common::instant now);
 
-/// An endpoint stated its load.
+/// Stores the load that an endpoint reported.
 void noteStatedLoad(scheduler_state& state, const Common::endpoint_id& endpoint, const stated_load& load, Common::instant now);
 
-/// @param state what is known.
-/// @param service the service of a request.
-/// @param fresh prompt tokens that have to be read.
+/// @param state the measured prefill speeds.
+/// @param service the service of the request.
+/// @param uncachedTokens prompt tokens that have to be processed.
 /// @param model the request's size.
-/// @return time of an engine that the request takes, in milliseconds.
-double engineMs(const scheduler_state& state, const Common::service_name& service, double fresh, const model_facts& model);
+/// @return engine time that the request takes, in milliseconds.
+double engineMs(const scheduler_state& state, const Common::service_name& service, double uncachedTokens, const model_facts& model);
 
-/// @return whether an endpoint of the service takes work.
+/// @return whether any endpoint of the service is ready.
 bool hasEndpoint(const scheduler_state& state, const Common::service_name& service);
 
-/// @param reason any reason.
-/// @return its stable name in logs and metrics.
+/// @return the name of the reason in logs and metrics.
 const char* nameOf(refusal_reason reason);
 
 } // namespace Scheduling
--- a/Source/Core/Scheduling/Tests/SchedulerTest.cpp
+++ b/Source/Core/Scheduling/Tests/SchedulerTest.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Placement of requests, and the load each rule answers.
+/// Placement of requests: distance, prompt cache, load, deadlines, ejection and prediction.
 
 #include "Scheduling/Scheduler.h"
 
@@ -16,49 +16,49 @@
 
 Fleet::endpoint makeEndpoint(const char* id, const char* zone, const char* version = "v1")
 {
-    Fleet::endpoint item;
-    item.id = { id };
-    item.service = { "s" };
-    item.address = std::string("10.0.0.1:") + id;
-    item.zone = { zone };
-    item.version = { version };
-    item.slots = 6;
-    return item;
+    Fleet::endpoint endpoint;
+    endpoint.id = { id };
+    endpoint.service = { "s" };
+    endpoint.address = std::string("10.0.0.1:") + id;
+    endpoint.zone = { zone };
+    endpoint.version = { version };
+    endpoint.slots = 6;
+    return endpoint;
 }
 
 scheduler_state makeState(const std::vector<Fleet::endpoint>& endpoints)
 {
     scheduler_state state;
     state.here = { { "a" }, { "r" }, { { { "a" }, { "r" } }, { { "b" }, { "r" } }, { { "c" }, { "q" } } } };
-    for (const Fleet::endpoint& item : endpoints)
-        noteEndpoint(state, item, at(0));
+    for (const Fleet::endpoint& endpoint : endpoints)
+        noteEndpoint(state, endpoint, at(0));
     return state;
 }
 
 work makeModelWork(uint32_t tokens, const std::vector<prompt_part>& parts)
 {
-    work item;
-    item.service = { "s" };
-    item.model = model_facts { "m", tokens, 50, {}, parts };
-    item.arrived = at(0);
-    item.deadline = at(5000);
-    return item;
+    work request;
+    request.service = { "s" };
+    request.model = model_facts { "m", tokens, 50, {}, parts };
+    request.arrived = at(0);
+    request.deadline = at(5000);
+    return request;
 }
 
 work makePlainWork()
 {
-    work item;
-    item.service = { "s" };
-    item.arrived = at(0);
-    item.deadline = at(1000);
-    return item;
+    work request;
+    request.service = { "s" };
+    request.arrived = at(0);
+    request.deadline = at(1000);
+    return request;
 }
 
 } // namespace
 
 TEST_GROUP(Scheduler) {};
 
-TEST(Scheduler, AnIdleEndpointNearbyIsPreferred)
+TEST(Scheduler, TheClosestIdleEndpointIsPreferred)
 {
     struct row {
         std::vector<Fleet::endpoint> endpoints;
@@ -77,9 +77,9 @@
     }
 }
 
-TEST(Scheduler, PromptsThatShareAPartMeetAtTheEngineThatReadIt)
+TEST(Scheduler, PromptsWithASharedPrefixGoToTheEngineThatCachedIt)
 {
-    // The load: many requests about few subjects, with idle engines beside the one that has read the subject.
+    // Many requests share few prefixes. An idle engine without the prefix must not win over the one that has cached it.
     scheduler_state state = makeState({ makeEndpoint("1", "a"), makeEndpoint("2", "a"), makeEndpoint("3", "a") });
     const auto first = place(state, makeModelWork(9000, { { "subject", 6000 }, { "own1", 3000 } }), {}, at(0));
     noteBegun(state, first->endpoint, first->id, at(300));
@@ -89,7 +89,7 @@
     DOUBLES_EQUAL(3000, second->freshTokens, 0.1);
 }
 
-TEST(Scheduler, ABusyEngineIsLeftEvenWhenItHoldsThePrompt)
+TEST(Scheduler, LoadIsSpreadEvenIfOneEngineHasCachedThePrefix)
 {
     scheduler_state state = makeState({ makeEndpoint("1", "a"), makeEndpoint("2", "a") });
     std::map<Common::endpoint_id, int> counts;
@@ -103,13 +103,14 @@
         CHECK(count >= 4);
 }
 
-TEST(Scheduler, NodesThatKnowNothingOfEachOtherSpreadOverIdleEngines)
+TEST(Scheduler, UncoordinatedNodesSpreadOverIdleEngines)
 {
-    // The load: many nodes that each place few requests at far more engines than they have met, all at one moment.
+    // Many nodes place few requests each, at the same moment, at engines that they have no measurements of. Without
+    // random jitter they would all choose the same ones.
     constexpr int nodes = 60;
     constexpr int engines = 30;
-    // An engine reads such a prompt in 300 ms: the fourth in a row still begins within an aim of 1200 ms.
-    constexpr int mostInAim = 4;
+    // An engine processes such a prompt in 300 ms: the fourth in its queue still begins within the target of 1200 ms.
+    constexpr int maxWithinTarget = 4;
     std::vector<Fleet::endpoint> fleet;
     for (int engine = 0; engine < engines; ++engine)
         fleet.push_back(makeEndpoint(std::to_string(100 + engine).c_str(), "a"));
@@ -122,14 +123,14 @@
         CHECK(placed.has_value());
         ++counts[placed->endpoint];
     }
-    int withinAim = 0;
+    int withinTarget = 0;
     for (const auto& [id, count] : counts)
-        withinAim += std::min(count, mostInAim);
-    // Ninety in a hundred of them begin in time.
-    CHECK(withinAim * 100 >= nodes * 90);
+        withinTarget += std::min(count, maxWithinTarget);
+    // At least 90 % begin within the target.
+    CHECK(withinTarget * 100 >= nodes * 90);
 }
 
-TEST(Scheduler, WhatCannotBeginInTimeIsRefusedAtOnce)
+TEST(Scheduler, RequestsPredictedToMissTheirDeadlineAreRefused)
 {
     scheduler_state state = makeState({ makeEndpoint("1", "a") });
     int placedCount = 0;
@@ -146,7 +147,7 @@
     CHECK(placedCount < 40);
 }
 
-TEST(Scheduler, LimitsAreRespected)
+TEST(Scheduler, PlacementLimitsAreRespected)
 {
     struct row {
         placement_limits limits;
@@ -167,7 +168,7 @@
     }
 }
 
-TEST(Scheduler, AFailingEndpointRestsAndIsTriedAgain)
+TEST(Scheduler, AFailingEndpointIsEjectedAndRetriedLater)
 {
     scheduler_state state = makeState({ makeEndpoint("1", "a"), makeEndpoint("2", "c") });
     for (int failure = 0; failure < 3; ++failure) {
@@ -179,7 +180,7 @@
     STRCMP_EQUAL("1", place(state, makePlainWork(), {}, at(900))->endpoint.value.c_str());
 }
 
-TEST(Scheduler, AnEndpointThatLeavesTakesNothing)
+TEST(Scheduler, ALeavingEndpointGetsNoRequests)
 {
     scheduler_state state = makeState({ makeEndpoint("1", "a") });
     Fleet::endpoint leaving = makeEndpoint("1", "a");
@@ -189,7 +190,7 @@
     CHECK(!hasEndpoint(state, { "s" }));
 }
 
-TEST(Scheduler, ARestartForgetsWhatTheEngineKept)
+TEST(Scheduler, ARestartResetsThePromptCache)
 {
     scheduler_state state = makeState({ makeEndpoint("1", "a") });
     const std::vector<prompt_part> parts { { "subject", 6000 } };
@@ -201,16 +202,16 @@
     DOUBLES_EQUAL(6000, place(state, makeModelWork(6000, parts), {}, at(3))->freshTokens, 0.1);
 }
 
-TEST(Scheduler, TheReadingSpeedIsLearned)
+TEST(Scheduler, PredictionsAdaptToThePrefillSpeed)
 {
     scheduler_state state = makeState({ makeEndpoint("1", "a") });
     constexpr double actualMsPerToken = 0.009;
     double predicted = 0;
     for (int request = 0; request < 200; ++request) {
         const uint32_t tokens = 1000 + 97U * static_cast<uint32_t>(request % 60);
-        work item = makeModelWork(tokens, { { "own" + std::to_string(request), tokens } });
-        item.deadline = at(request * 1000 + 5000);
-        const auto placed = place(state, item, {}, at(request * 1000));
+        work modelRequest = makeModelWork(tokens, { { "own" + std::to_string(request), tokens } });
+        modelRequest.deadline = at(request * 1000 + 5000);
+        const auto placed = place(state, modelRequest, {}, at(request * 1000));
         predicted = placed->predictedMs;
         const auto ms = static_cast<int>(25 + tokens * actualMsPerToken);
         noteBegun(state, placed->endpoint, placed->id, at(request * 1000 + ms));
@@ -222,14 +223,14 @@
 
 TEST_GROUP(PromptCache) {};
 
-TEST(PromptCache, OnlyAPrefixCountsAndTheLeastUsedLeaves)
+TEST(PromptCache, OnlyACachedPrefixCountsAndTheLeastRecentlyUsedPartIsEvicted)
 {
     prompt_cache cache;
     cache.capacityTokens = 100;
-    rememberParts(cache, { { "a", 40 }, { "b", 30 } });
+    recordParts(cache, { { "a", 40 }, { "b", 30 } });
     CHECK_EQUAL(70, cachedTokens(cache, { { "a", 40 }, { "b", 30 }, { "c", 10 } }));
     CHECK_EQUAL(0, cachedTokens(cache, { { "x", 1 }, { "a", 40 } }));
-    rememberParts(cache, { { "a", 40 }, { "d", 50 } });
+    recordParts(cache, { { "a", 40 }, { "d", 50 } });
     CHECK_EQUAL(90, cachedTokens(cache, { { "a", 40 }, { "d", 50 } }));
     CHECK_EQUAL(40, cachedTokens(cache, { { "a", 40 }, { "b", 30 } }));
 }
