--- a/Source/Core/Dispatch/DispatchDuty.cpp
+++ b/Source/Core/Dispatch/DispatchDuty.cpp
@@ -50,10 +50,10 @@
             publishMetrics();
             m_unfinished = countUnfinished(m_state);
         }
-        // What has been decided so far must not wait for the next event of an endpoint.
+        // Flushed before poll() too: poll() may wait for the next endpoint event and must not delay these actions.
         flushToCallers();
         m_client.poll(tickInterval);
-        for (dispatch_message& message : std::exchange(m_fromEndpoints, {}))
+        for (dispatch_message& message : std::exchange(m_endpointMessages, {}))
             dispatch(std::move(message));
         flushToCallers();
     }
@@ -61,8 +61,8 @@
 
 void dispatch_duty::flushToCallers()
 {
-    if (!m_forCallers.empty() && m_outlets.tellCallers(m_forCallers))
-        m_forCallers.clear();
+    if (!m_callerActions.empty() && m_outlets.tellCallers(m_callerActions))
+        m_callerActions.clear();
 }
 
 void dispatch_duty::stop()
@@ -81,7 +81,7 @@
 template <typename action_type>
 void dispatch_duty::perform(action_type& action)
 {
-    m_forCallers.emplace_back(std::move(action));
+    m_callerActions.emplace_back(std::move(action));
 }
 
 void dispatch_duty::perform(start_attempt& action)
@@ -101,19 +101,19 @@
     };
     Http::client::data_handler onData;
     if (action.isModelWork)
-        onData = [this, attempt](long status, std::string_view bytes) { takeEngineBytes(attempt, status, bytes); };
+        onData = [this, attempt](long status, std::string_view bytes) { handleEngineBytes(attempt, status, bytes); };
     m_transfers[attempt.value].transfer = m_client.start(std::move(request), onEnd, onData);
 }
 
-void dispatch_duty::takeEngineBytes(Common::attempt_number attempt, long status, std::string_view bytes)
+void dispatch_duty::handleEngineBytes(Common::attempt_number attempt, long status, std::string_view bytes)
 {
     const auto found = m_transfers.find(attempt.value);
     if (found == m_transfers.end() || status != statusOk)
         return;
     std::vector<std::string> texts = readEngineBytes(found->second.stream, bytes);
-    // libcurl forbids to remove a transfer from inside its own callback, so decisions run after poll().
+    // libcurl forbids removing a transfer from inside its own callback, so the decisions are made after poll().
     if (!texts.empty())
-        m_fromEndpoints.push_back(attempt_tokens { attempt, std::move(texts) });
+        m_endpointMessages.push_back(attempt_tokens { attempt, std::move(texts) });
 }
 
 void dispatch_duty::endAttempt(Common::attempt_number attempt, bool isModelWork, Http::transfer_answer&& answer)
@@ -122,10 +122,10 @@
     if (found == m_transfers.end())
         return;
     attempt_ended message { attempt, answer.end, static_cast<int>(answer.status), std::move(answer.body), {} };
-    if (isModelWork && !found->second.stream.isNonsense)
+    if (isModelWork && !found->second.stream.isMalformed)
         message.finishReason = found->second.stream.finishReason;
     m_transfers.erase(found);
-    m_fromEndpoints.push_back(std::move(message));
+    m_endpointMessages.push_back(std::move(message));
 }
 
 void dispatch_duty::perform(cancel_attempt& action)
--- a/Source/Core/Dispatch/DispatchDuty.h
+++ b/Source/Core/Dispatch/DispatchDuty.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The dispatch duty: the thread that runs the dispatch decisions and speaks to the endpoints.
+/// The dispatch duty: the thread that runs the dispatch decisions and sends requests to the endpoints.
 
 #include "Common/Ring.h"
 #include "Dispatch/Dispatcher.h"
@@ -12,16 +12,16 @@
 
 namespace Dispatch {
 
-/// What goes back to the callers.
+/// Actions that concern a caller's connection.
 using caller_action = std::variant<send_stream_head, send_tokens, send_stream_end, send_stream_failure, send_completion,
     send_service_answer, send_failure, send_redirect, locate_request>;
 
-/// Where the duty's actions go. None of them blocks.
+/// Functions that pass the duty's actions on to other duties. They are called on the duty's thread and must not block.
 struct dispatch_outlets {
-    /// @return false when the ring is full: the actions stay with the duty and are offered again.
+    /// @return false when the ring of the receiver is full; the duty then keeps the actions and passes them again later.
     std::function<bool(std::vector<caller_action>&)> tellCallers;
     std::function<void(Platform::table_call&&)> callTable;
-    std::function<void(const Common::endpoint_id&)> reportRefused;
+    std::function<void(const Common::endpoint_id&)> reportRefused; ///< The endpoint refused a connection.
     std::function<void(Rollout::attempt_observed&&)> observe;
     std::function<void(request_transfer&&)> offerTransfer;
     std::function<void(const accept_transfer&)> acceptTransfer;
@@ -33,17 +33,18 @@
 public:
     dispatch_duty(dispatch_state initial, dispatch_outlets outlets);
 
-    /// Hands a message over; may be called from any thread.
-    /// @return whether the ring took it.
+    /// Puts a message into the inbox; may be called from any thread.
+    /// @return false when the inbox is full; the message is then not handled.
     bool submit(dispatch_message&& message);
-    /// Serves until stop().
+    /// Runs the duty on the calling thread until stop().
     void run();
+    /// Makes run() return; may be called from any thread.
     void stop();
-    /// @return requests that still need this node; may be called from any thread.
+    /// @return number of requests that still need this node, as of the last tick; may be called from any thread.
     size_t unfinished() const;
 
 private:
-    struct open_transfer {
+    struct engine_transfer {
         Http::transfer_id transfer { 0 };
         engine_stream stream;
     };
@@ -63,7 +64,7 @@
     void perform(note_event& action);
     template <typename action_type>
     void perform(action_type& action);
-    void takeEngineBytes(Common::attempt_number attempt, long status, std::string_view bytes);
+    void handleEngineBytes(Common::attempt_number attempt, long status, std::string_view bytes);
     void endAttempt(Common::attempt_number attempt, bool isModelWork, Http::transfer_answer&& answer);
     void flushToCallers();
     void publishMetrics() const;
@@ -72,9 +73,9 @@
     dispatch_outlets m_outlets;
     Common::ring<dispatch_message> m_inbox;
     Http::client m_client;
-    std::unordered_map<uint64_t, open_transfer> m_transfers;
-    std::vector<caller_action> m_forCallers;
-    std::vector<dispatch_message> m_fromEndpoints; ///< Filled by the client's handlers, taken after each poll.
+    std::unordered_map<uint64_t, engine_transfer> m_transfers;
+    std::vector<caller_action> m_callerActions;
+    std::vector<dispatch_message> m_endpointMessages; ///< Filled by the client's callbacks, handled after each poll.
     std::atomic<size_t> m_unfinished { 0 };
     std::atomic<bool> m_isStopping { false };
 };
--- a/Source/Core/Dispatch/Dispatcher.cpp
+++ b/Source/Core/Dispatch/Dispatcher.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-    constexpr int comeBackSeconds = 1;
+    constexpr int drainRetryAfterSeconds = 1;
 
     Common::request_id nextRequestId(dispatch_state& state)
     {
@@ -18,7 +18,7 @@
         return { state.settings.node.value + "." + std::to_string(state.settings.incarnation.value) + "." + std::to_string(sequence) };
     }
 
-    /// Requests that begin with the same first message share an engine's prefix cache.
+    /// Requests with the same first message can share an engine's prefix cache.
     uint64_t hashPrefix(const nlohmann::json& body)
     {
         const auto messages = body.find("messages");
@@ -27,23 +27,23 @@
         return Common::hash64(messages->front().dump());
     }
 
-    Routing::routing_request describe(const dispatch_state& state, const request_entry& request)
+    Routing::routing_request makeRoutingRequest(const dispatch_state& state, const request_entry& request)
     {
-        Routing::routing_request wanted;
-        wanted.work = &request.work;
-        wanted.prefixHash = request.prefixHash;
-        wanted.avoided = request.avoided;
+        Routing::routing_request routingRequest;
+        routingRequest.work = &request.work;
+        routingRequest.prefixHash = request.prefixHash;
+        routingRequest.avoided = request.avoided;
         const auto shares = state.sharesByService.find(request.work.service);
         if (shares != state.sharesByService.end()) {
-            wanted.versionShares = &shares->second.shares;
-            wanted.currentVersion = &shares->second.current;
+            routingRequest.versionShares = &shares->second.shares;
+            routingRequest.currentVersion = &shares->second.current;
         }
-        return wanted;
+        return routingRequest;
     }
 
     Limits::predicted_service predict(step_context& context, const request_entry& request)
     {
-        const auto choice = Routing::chooseEndpoint(context.state.router, describe(context.state, request), context.clock.now);
+        const auto choice = Routing::chooseEndpoint(context.state.router, makeRoutingRequest(context.state, request), context.clock.now);
         if (!choice)
             return {};
         return { true, choice->meetsTarget, choice->predictedFirstTokenSeconds };
@@ -63,19 +63,19 @@
         request->idempotencyKey = std::move(message.idempotencyKey);
         request->prefixHash = hashPrefix(request->body);
         request->arrivedAt = context.clock.now;
-        request->deadline = context.clock.now + context.state.settings.longestRequest;
+        request->deadline = context.clock.now + context.state.settings.maxRequestDuration;
         return request;
     }
 
-    void observe(step_context& context, const request_entry& request, Rollout::attempt_event event)
+    void reportRolloutEvent(step_context& context, const request_entry& request, Rollout::attempt_event event)
     {
         if (context.state.sharesByService.contains(request.work.service))
             context.output.push_back(observe_attempt { { request.work.service, request.attempt->version, request.work.name, event } });
     }
 
-    Rollout::attempt_event classify(dispatch_state& state, const request_entry& request, const Routing::attempt_outcome& outcome)
+    Rollout::attempt_event classifyAttempt(dispatch_state& state, const request_entry& request, const Routing::attempt_outcome& outcome)
     {
-        // The end of a reclaimed instance says nothing of its version.
+        // The endpoint is gone when its instance was reclaimed: that failure doesn't count against the version.
         if (outcome.isFailed && Routing::findView(state.router, request.attempt->endpoint))
             return Rollout::attempt_event::Failed;
         if (outcome.isFailed || !outcome.answerSeconds)
@@ -116,40 +116,40 @@
     {
         const auto found = context.state.byCaller.find(message.token.value);
         if (found != context.state.byCaller.end())
-            callerWritten(context, *found->second, message);
+            handleCallerWritten(context, *found->second, message);
     }
 
-    request_entry* findAttempt(step_context& context, Common::attempt_number attempt)
+    request_entry* findRequestOfAttempt(step_context& context, Common::attempt_number attempt)
     {
-        // An attempt that was replaced is not in the books: whatever it still sends is dropped here.
+        // A replaced attempt is no longer in byAttempt: whatever it still sends is dropped here.
         const auto found = context.state.byAttempt.find(attempt.value);
         return found == context.state.byAttempt.end() ? nullptr : found->second;
     }
 
     void handle(step_context& context, attempt_tokens&& message)
     {
-        if (request_entry* request = findAttempt(context, message.attempt))
-            takeTokens(context, *request, std::move(message.texts));
+        if (request_entry* request = findRequestOfAttempt(context, message.attempt))
+            appendTokens(context, *request, std::move(message.texts));
     }
 
     void handle(step_context& context, attempt_ended&& message)
     {
-        request_entry* request = findAttempt(context, message.attempt);
+        request_entry* request = findRequestOfAttempt(context, message.attempt);
         if (!request)
             return;
         if (message.end == Http::transfer_end::NotSent)
             context.output.push_back(report_refused { request->attempt->endpoint });
         if (request->work.kind == Configuration::class_kind::Model)
-            modelAttemptEnded(context, *request, message);
+            handleModelAttemptEnd(context, *request, message);
         else
-            serviceAttemptEnded(context, *request, message);
+            handleServiceAttemptEnd(context, *request, message);
     }
 
     void handle(step_context& context, record_reply&& message)
     {
         const auto found = context.state.requests.find(message.request);
         if (found != context.state.requests.end())
-            recordReplied(context, *found->second, message);
+            handleRecordReply(context, *found->second, message);
     }
 
     void handle(step_context& context, configuration_published&& message)
@@ -175,7 +175,7 @@
 
     void handle(step_context& context, transfer_offered&& message)
     {
-        takeTransfer(context, std::move(message));
+        receiveTransfer(context, std::move(message));
     }
 
     void handle(step_context& context, transfer_taken&& message)
@@ -196,20 +196,20 @@
         context.state.isDraining = true;
     }
 
-    std::vector<request_entry*> listRequests(dispatch_state& state)
+    std::vector<request_entry*> listRequestsById(dispatch_state& state)
     {
         std::vector<request_entry*> list;
         list.reserve(state.requests.size());
         for (const auto& [id, request] : state.requests)
             list.push_back(request.get());
-        // The order of a hash table differs between runs; decisions must not.
+        // The iteration order of a hash table may differ between runs; the order of the decisions must not.
         std::sort(list.begin(), list.end(), [](const request_entry* left, const request_entry* right) { return left->id < right->id; });
         return list;
     }
 
     void handle(step_context& context, handover_begun&&)
     {
-        for (request_entry* request : listRequests(context.state)) {
+        for (request_entry* request : listRequestsById(context.state)) {
             if (request->work.kind == Configuration::class_kind::Model)
                 offerTransfer(context, *request);
         }
@@ -217,7 +217,7 @@
 
     void handle(step_context& context, dispatch_tick&&)
     {
-        for (request_entry* request : listRequests(context.state)) {
+        for (request_entry* request : listRequestsById(context.state)) {
             if (request->work.kind == Configuration::class_kind::Model)
                 tickModelWork(context, *request);
             else
@@ -247,11 +247,11 @@
     std::unique_ptr<request_entry> request = makeRequest(context, std::move(message));
     std::optional<Common::failure> refusal;
     if (context.state.isDraining)
-        refusal = Common::failure { Common::failure_kind::NodeDraining, context.state.settings.node.value, Common::run_state::NotRun, comeBackSeconds };
+        refusal = Common::failure { Common::failure_kind::NodeDraining, context.state.settings.node.value, Common::run_state::NotRun, drainRetryAfterSeconds };
     else
         refusal = Limits::refuse(context.state.admission, *context.state.config, request->account, request->work, predict(context, *request));
     if (refusal) {
-        note(context, "request_refused", *request, { { "code", nameOf(refusal->kind) } });
+        recordEvent(context, "request_refused", *request, { { "code", nameOf(refusal->kind) } });
         context.output.push_back(send_failure { token, request->id, *refusal });
         return nullptr;
     }
@@ -266,11 +266,11 @@
 bool assignEndpoint(step_context& context, request_entry& request)
 {
     dispatch_state& state = context.state;
-    auto choice = Routing::chooseEndpoint(state.router, describe(context.state, request), context.clock.now);
+    auto choice = Routing::chooseEndpoint(state.router, makeRoutingRequest(context.state, request), context.clock.now);
     if (!choice && !request.avoided.empty()) {
-        // Better an endpoint that failed once than none.
+        // No endpoint is left that hasn't failed this request: retry one of those rather than none.
         request.avoided.clear();
-        choice = Routing::chooseEndpoint(state.router, describe(context.state, request), context.clock.now);
+        choice = Routing::chooseEndpoint(state.router, makeRoutingRequest(context.state, request), context.clock.now);
     }
     if (!choice)
         return false;
@@ -282,13 +282,13 @@
     attempt.begunAt = context.clock.now;
     attempt.lastProgress = context.clock.now;
     attempt.predictedFirstTokenSeconds = choice->predictedFirstTokenSeconds;
-    note(context, "attempt_begun", request, { { "endpoint", view.info->id.value }, { "zone", view.info->zone.value }, { "version", view.info->version.value }, { "attempt", attempt.number.value }, { "predicted_first_token_s", choice->predictedFirstTokenSeconds }, { "predicted_cost_micro", choice->predictedCostMicro } });
+    recordEvent(context, "attempt_begun", request, { { "endpoint", view.info->id.value }, { "zone", view.info->zone.value }, { "version", view.info->version.value }, { "attempt", attempt.number.value }, { "predicted_first_token_s", choice->predictedFirstTokenSeconds }, { "predicted_cost_micro", choice->predictedCostMicro } });
     request.attempt = attempt;
     request.attemptsBegun += 1;
     request.phase = request_phase::Running;
     state.byAttempt[attempt.number.value] = &request;
     Routing::noteBegun(state.router, attempt.endpoint, request.prefixHash);
-    observe(context, request, Rollout::attempt_event::Begun);
+    reportRolloutEvent(context, request, Rollout::attempt_event::Begun);
     return true;
 }
 
@@ -296,7 +296,7 @@
 {
     if (!request.attempt)
         return;
-    observe(context, request, classify(context.state, request, outcome));
+    reportRolloutEvent(context, request, classifyAttempt(context.state, request, outcome));
     Routing::noteEnded(context.state.router, request.attempt->endpoint, outcome, context.clock.now);
     context.state.byAttempt.erase(request.attempt->number.value);
     request.attempt.reset();
@@ -311,7 +311,7 @@
     request.unwrittenBytes = 0;
 }
 
-void forget(step_context& context, request_entry& request)
+void removeRequest(step_context& context, request_entry& request)
 {
     if (request.attempt) {
         context.output.push_back(cancel_attempt { request.attempt->number });
@@ -322,7 +322,7 @@
     context.state.requests.erase(Common::request_id(request.id));
 }
 
-void note(step_context& context, std::string_view event, const request_entry& request, nlohmann::json fields)
+void recordEvent(step_context& context, std::string_view event, const request_entry& request, nlohmann::json fields)
 {
     context.output.push_back(note_event { event, request.id, std::move(fields) });
 }
--- a/Source/Core/Dispatch/EngineCodec.cpp
+++ b/Source/Core/Dispatch/EngineCodec.cpp
@@ -11,7 +11,7 @@
     using nlohmann::json;
 
     constexpr std::string_view dataPrefix = "data:";
-    constexpr std::string_view doneMark = "[DONE]";
+    constexpr std::string_view doneMarker = "[DONE]";
 
     std::string_view trim(std::string_view text)
     {
@@ -43,8 +43,8 @@
         return event_member::Other;
     }
 
-    /// Picks the first choice's content and finish reason out of an event without building a document: one event
-    /// arrives for every token.
+    /// Extracts the content and the finish reason of the first choice. It is a SAX handler because an event arrives for
+    /// every token, so building a JSON document for each would be too expensive.
     class event_handler final : public nlohmann::json_sax<json> {
     public:
         bool hasChoices { false };
@@ -102,12 +102,12 @@
         }
 
     private:
-        // Depths inside {"choices":[{"delta":{"content":...}}]}.
+        // Nesting depths in {"choices":[{"delta":{"content":...}}]}.
         static constexpr size_t eventDepth = 1;
         static constexpr size_t listDepth = 2;
         static constexpr size_t choiceDepth = 3;
         static constexpr size_t deltaDepth = 4;
-        static constexpr size_t watchedDepths = 5;
+        static constexpr size_t trackedDepths = 5;
 
         void enter()
         {
@@ -123,7 +123,7 @@
 
         size_t m_depth { 0 };
         size_t m_choices { 0 };
-        std::array<event_member, watchedDepths> m_members {};
+        std::array<event_member, trackedDepths> m_members {};
     };
 
     void readLine(engine_stream& stream, std::string_view line, std::vector<std::string>& texts)
@@ -131,11 +131,11 @@
         if (line.substr(0, dataPrefix.size()) != dataPrefix)
             return;
         const std::string_view data = trim(line.substr(dataPrefix.size()));
-        if (data == doneMark || stream.isNonsense)
+        if (data == doneMarker || stream.isMalformed)
             return;
         event_handler handler;
         if (!json::sax_parse(data, &handler) || !handler.hasChoices) {
-            stream.isNonsense = true;
+            stream.isMalformed = true;
             return;
         }
         if (!handler.finishReason.empty())
@@ -159,8 +159,8 @@
         start = end + 1;
     }
     stream.pending.erase(0, start);
-    if (stream.pending.size() > longestEngineEvent)
-        stream.isNonsense = true;
+    if (stream.pending.size() > maxEngineEventBytes)
+        stream.isMalformed = true;
     return texts;
 }
 
--- a/Source/Core/Dispatch/EngineCodec.h
+++ b/Source/Core/Dispatch/EngineCodec.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// The stream of a model engine (OpenAI-compatible server-sent events): the only file that knows it.
+/// Decodes the answer stream of a model engine (OpenAI-compatible server-sent events). No other file depends on this
+/// format.
 
 #include <string>
 #include <string_view>
@@ -9,18 +10,19 @@
 
 namespace Dispatch {
 
-/// Reads one engine stream piece by piece.
+/// State of the incremental decoding of one engine stream.
 struct engine_stream {
-    std::string pending; ///< An event that has not arrived whole.
-    std::string finishReason;
-    bool isNonsense { false };
+    std::string pending; ///< Bytes of an incomplete line.
+    std::string finishReason; ///< Empty until the engine reports that it has finished.
+    bool isMalformed { false }; ///< The stream doesn't follow the format; its answer must not count as finished.
 };
 
-constexpr size_t longestEngineEvent = size_t { 1024 } * 1024;
+/// A longer line makes the stream malformed; bounds the memory that one engine can occupy.
+constexpr size_t maxEngineEventBytes = size_t { 1024 } * 1024;
 
-/// @param stream what has been read so far; changed in place.
-/// @param bytes the next bytes, cut anywhere.
-/// @return the texts of the tokens that became complete.
+/// @param stream decoding state; updated.
+/// @param bytes the next bytes of the stream; may be split at any position.
+/// @return the texts of the tokens that these bytes completed.
 std::vector<std::string> readEngineBytes(engine_stream& stream, std::string_view bytes);
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Messages.h
+++ b/Source/Core/Dispatch/Messages.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What other duties tell the dispatch duty, and what its decisions ask to be done.
+/// The messages that the dispatch duty receives from other duties, and the actions that it decides on.
 
 #include "Common/Failure.h"
 #include "Common/Ids.h"
@@ -20,19 +20,19 @@
 
 namespace Dispatch {
 
-/// A checked request of a client account.
+/// An authenticated and validated request of a client account.
 struct caller_request {
     Common::caller_token token;
     Common::account_id account;
     Configuration::class_of_work work;
     bool isStreamed { false };
-    nlohmann::json body; ///< Of model work: the chat completion request.
-    std::string rawBody; ///< Of a service call: the body as sent.
-    std::string path; ///< Of a service call: the path at the service.
-    std::string idempotencyKey;
+    nlohmann::json body; ///< Model work only: the chat completion request.
+    std::string rawBody; ///< Service calls only: the body as received.
+    std::string path; ///< Service calls only: the path at the service.
+    std::string idempotencyKey; ///< Empty when the caller sent none.
 };
 
-/// A caller that comes back for a request in flight.
+/// A caller reconnects to a request in flight.
 struct caller_resume {
     Common::caller_token token;
     Common::account_id account;
@@ -41,11 +41,11 @@
     bool isStreamed { true };
 };
 
-/// Bytes of a streamed answer left this node, or its caller is gone.
+/// Bytes of a streamed answer were written to the caller's connection, or the connection was closed.
 struct caller_written {
     Common::caller_token token;
     size_t bytes { 0 };
-    bool isAlive { true };
+    bool isAlive { true }; ///< False when the connection was closed.
 };
 
 /// Tokens from an engine, in order.
@@ -54,20 +54,21 @@
     std::vector<std::string> texts;
 };
 
-/// An attempt is over.
+/// An attempt ended, completely or not.
 struct attempt_ended {
     Common::attempt_number attempt;
     Http::transfer_end end { Http::transfer_end::NotSent };
     int status { 0 };
-    std::string body; ///< Of a service call or a refused request.
-    std::string finishReason; ///< Of model work: set only when the engine said that it had finished.
+    std::string body; ///< Answer body of a service call or of a refused request.
+    std::string finishReason; ///< Model work only: empty unless the engine reported that it had finished.
 };
 
+/// The access to the at-most-once record that a table reply belongs to.
 enum class record_step {
     ClaimWritten,
     ClaimRead,
     OutcomeWritten,
-    SettleRead, ///< Read back of a claim that was refused while its write might still have landed.
+    SettleRead, ///< Reads back a claim whose call was refused although the write may have been applied.
 };
 
 struct record_reply {
@@ -82,24 +83,24 @@
 
 struct endpoints_published {
     Endpoints::endpoint_list usable;
-    double sharingNodes { 1 }; ///< Entry nodes that send to one of them, about.
+    double sharingNodes { 1 }; ///< Estimated number of entry nodes that send requests to the same endpoint, this one included.
 };
 
 struct load_published {
     Endpoints::load_report report;
 };
 
-/// A request in flight, whole, as a leaving node hands it to a peer.
+/// Complete state of a request in flight, as a leaving node hands it over to a peer.
 struct request_transfer {
     Common::request_id request;
     Common::account_id account;
     Common::class_name work;
     nlohmann::json body;
-    std::vector<std::string> tokens;
+    std::vector<std::string> tokens; ///< Texts of the tokens generated so far, in order.
     bool isStreamed { true };
 };
 
-/// How the traffic of a service is shared among its versions.
+/// How the traffic of a service is split among its versions.
 struct shares_published {
     Rollout::publish_shares shares;
 };
@@ -110,29 +111,31 @@
     request_transfer item;
 };
 
-/// A peer has taken a request that this node offered.
+/// A peer has accepted a request that this node offered.
 struct transfer_taken {
     Common::request_id request;
-    std::string httpAddress; ///< Where its caller finds it now.
+    std::string httpAddress; ///< Where the caller continues the request.
 };
 
-/// The node has begun to leave.
+/// The node has begun to leave: new requests are refused.
 struct drain_begun { };
 
-/// A peer looks for a request on behalf of its caller.
+/// A peer asks whether this node holds a request that one of its callers wants to resume.
 struct holder_query {
     Common::request_id request;
     Common::node_id asker;
 };
 
-/// Hand over what is still in flight.
+/// Offer the model requests still in flight to peers.
 struct handover_begun { };
 
+/// Sent at a fixed interval to check time limits and retries.
 struct dispatch_tick { };
 
 using dispatch_message = std::variant<caller_request, caller_resume, caller_written, attempt_tokens, attempt_ended, record_reply,
     configuration_published, endpoints_published, load_published, shares_published, transfer_offered, transfer_taken, holder_query, drain_begun, handover_begun, dispatch_tick>;
 
+/// Sends a request to an endpoint.
 struct start_attempt {
     Common::attempt_number attempt;
     Common::endpoint_id endpoint;
@@ -149,6 +152,7 @@
     Common::attempt_number attempt;
 };
 
+/// Stops reading from the endpoint because its caller is slow.
 struct pause_attempt {
     Common::attempt_number attempt;
 };
@@ -171,6 +175,7 @@
     std::vector<std::string> texts;
 };
 
+/// Ends a stream whose answer is complete.
 struct send_stream_end {
     Common::caller_token token;
     Common::request_id request;
@@ -179,14 +184,14 @@
     uint64_t tokenCount { 0 };
 };
 
-/// Ends a stream whose request failed after its head was sent.
+/// Ends a stream whose request failed after the response head was sent.
 struct send_stream_failure {
     Common::caller_token token;
     Common::request_id request;
     Common::failure reason;
 };
 
-/// The whole answer of model work.
+/// The complete answer of model work that isn't streamed.
 struct send_completion {
     Common::caller_token token;
     Common::request_id request;
@@ -196,13 +201,13 @@
     uint64_t tokenCount { 0 };
 };
 
-/// The whole answer of a service call.
+/// The complete answer of a service call.
 struct send_service_answer {
     Common::caller_token token;
     Common::request_id request;
     int status { 0 };
     std::string body;
-    bool isReplay { false };
+    bool isReplay { false }; ///< The stored outcome of an earlier call with the same idempotency key.
 };
 
 struct send_failure {
@@ -211,7 +216,7 @@
     Common::failure reason;
 };
 
-/// The request goes on at a peer: ask there.
+/// The request continues at a peer: redirect the caller there.
 struct send_redirect {
     Common::caller_token token;
     Common::request_id request;
@@ -219,7 +224,7 @@
     bool isStreamed { false };
 };
 
-/// A request that is not here; a peer may hold it.
+/// Asks the peers for a request that this node doesn't hold.
 struct locate_request {
     Common::caller_token token;
     Common::request_id request;
@@ -237,7 +242,7 @@
     Platform::table_key key;
 };
 
-/// Evidence for a rollout.
+/// Reports how an attempt at a service version began or ended, as evidence for its rollout.
 struct observe_attempt {
     Rollout::attempt_observed observed;
 };
@@ -247,23 +252,24 @@
     Common::endpoint_id endpoint;
 };
 
+/// Offers a request in flight to the peers because this node leaves.
 struct offer_transfer {
     request_transfer item;
 };
 
-/// Tells the peer that its request is taken here.
+/// Tells the leaving peer that this node has accepted its request.
 struct accept_transfer {
     Common::node_id peer;
     Common::request_id request;
 };
 
-/// Tells a peer that the request it looks for is here.
+/// Tells a peer that this node holds the request it asked for.
 struct confirm_held {
     Common::node_id peer;
     Common::request_id request;
 };
 
-/// One decision or outcome, for logs and explanations.
+/// One decision or outcome, for the log and for explanations of a request.
 struct note_event {
     std::string_view event;
     Common::request_id request;
--- a/Source/Core/Dispatch/ModelWork.cpp
+++ b/Source/Core/Dispatch/ModelWork.cpp
@@ -11,18 +11,23 @@
     constexpr int statusServerError = 500;
     constexpr int statusTimeout = 408;
     constexpr int statusTooManyRequests = 429;
-    constexpr std::chrono::milliseconds retryPause { 200 };
-    constexpr std::chrono::milliseconds parkedPause { 500 };
-    constexpr std::chrono::milliseconds shortestStall { 2000 };
-    constexpr int stallTargetFactor = 4;
-    constexpr int tokenStallTargetFactor = 20;
+    /// Delay of a retry that the account's retry budget didn't allow at once.
+    constexpr std::chrono::milliseconds retryDelay { 200 };
+    /// Delay until a request without a usable endpoint is tried again.
+    constexpr std::chrono::milliseconds noEndpointRetryDelay { 500 };
+    /// An attempt without progress is cancelled after a multiple of the target of its class, but not before this time.
+    constexpr std::chrono::milliseconds minStallTimeout { 2000 };
+    constexpr int firstTokenStallFactor = 4;
+    constexpr int betweenTokensStallFactor = 20;
+    /// A finished answer is kept for an absent caller only while this node holds fewer requests than this.
     constexpr size_t maxFinishedKept = 4096;
-    /// An offer that no peer has answered by then is taken back.
+    /// An offer that no peer accepts within this time is withdrawn, and the request continues here.
     constexpr std::chrono::milliseconds offerTimeLimit { 1500 };
-    /// Callers of a node that left learn the new address only when their connection ends.
+    /// Added to the reconnect grace of a transferred request: callers of the node that left learn the new address only
+    /// when their connection ends.
     constexpr std::chrono::seconds transferGrace { 20 };
 
-    /// The engine goes on after the tokens that the caller already has.
+    /// Makes the engine continue after the tokens that were already generated.
     void addContinuation(nlohmann::json& body, const token_log& tokens)
     {
         if (tokens.ends.empty())
@@ -44,17 +49,17 @@
         return body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
     }
 
-    void park(step_context& context, request_entry& request, std::chrono::milliseconds pause)
+    void park(step_context& context, request_entry& request, std::chrono::milliseconds delay)
     {
         request.phase = request_phase::Parked;
-        request.notBefore = context.clock.now + pause;
+        request.notBefore = context.clock.now + delay;
     }
 
     void beginAttempt(step_context& context, request_entry& request)
     {
         request.isOffered = false;
         if (!assignEndpoint(context, request)) {
-            park(context, request, parkedPause);
+            park(context, request, noEndpointRetryDelay);
             return;
         }
         const Routing::endpoint_view* view = Routing::findView(context.state.router, request.attempt->endpoint);
@@ -64,12 +69,12 @@
         action.address = view->info->address;
         action.path = "/v1/chat/completions";
         action.body = encodeEngineBody(request);
-        action.timeLimit = context.state.settings.longestRequest;
+        action.timeLimit = context.state.settings.maxRequestDuration;
         context.output.push_back(std::move(action));
         context.state.counters.tokensRecomputed += request.tokens.ends.size();
     }
 
-    void sendFrom(step_context& context, request_entry& request, uint64_t firstPosition)
+    void sendTokensFrom(step_context& context, request_entry& request, uint64_t firstPosition)
     {
         const uint64_t last = request.tokens.ends.size();
         if (!request.caller || !request.isStreamed || firstPosition > last)
@@ -82,7 +87,7 @@
         context.output.push_back(std::move(action));
     }
 
-    void sendEnd(step_context& context, request_entry& request)
+    void sendAnswerEnd(step_context& context, request_entry& request)
     {
         if (!request.caller)
             return;
@@ -93,26 +98,26 @@
             context.output.push_back(send_completion { *request.caller, request.id, request.work.name, request.tokens.text, request.finishReason, count });
     }
 
-    void fail(step_context& context, request_entry& request, const Common::failure& reason)
+    void failRequest(step_context& context, request_entry& request, const Common::failure& reason)
     {
-        note(context, "request_failed", request, { { "code", nameOf(reason.kind) }, { "attempts", request.attemptsBegun }, { "tokens", request.tokens.ends.size() } });
+        recordEvent(context, "request_failed", request, { { "code", nameOf(reason.kind) }, { "attempts", request.attemptsBegun }, { "tokens", request.tokens.ends.size() } });
         if (request.caller && request.isStreamed)
             context.output.push_back(send_stream_failure { *request.caller, request.id, reason });
         else if (request.caller)
             context.output.push_back(send_failure { *request.caller, request.id, reason });
-        forget(context, request);
+        removeRequest(context, request);
     }
 
-    /// A finished answer is kept for a caller that is away, within bounds.
-    void finish(step_context& context, request_entry& request)
+    /// Sends the end of the answer. Without a connected caller the answer is kept for the reconnect grace.
+    void finishRequest(step_context& context, request_entry& request)
     {
         const auto elapsed = std::chrono::duration<double>(context.clock.now - request.arrivedAt).count();
-        note(context, "request_finished", request, { { "tokens", request.tokens.ends.size() }, { "attempts", request.attemptsBegun }, { "seconds", elapsed }, { "account", request.account.value }, { "class", request.work.name.value } });
-        sendEnd(context, request);
+        recordEvent(context, "request_finished", request, { { "tokens", request.tokens.ends.size() }, { "attempts", request.attemptsBegun }, { "seconds", elapsed }, { "account", request.account.value }, { "class", request.work.name.value } });
+        sendAnswerEnd(context, request);
         request.phase = request_phase::Finished;
         const bool isKept = !request.caller && context.state.requests.size() < maxFinishedKept;
         if (!isKept) {
-            forget(context, request);
+            removeRequest(context, request);
             return;
         }
         request.deadline = context.clock.now + context.state.settings.reconnectGrace;
@@ -127,46 +132,46 @@
         return outcome;
     }
 
-    void goOnElsewhere(step_context& context, request_entry& request, std::string_view cause)
+    void retryElsewhere(step_context& context, request_entry& request, std::string_view cause)
     {
         const Common::endpoint_id failed = request.attempt->endpoint;
-        note(context, "attempt_failed", request, { { "endpoint", failed.value }, { "cause", cause }, { "tokens", request.tokens.ends.size() } });
+        recordEvent(context, "attempt_failed", request, { { "endpoint", failed.value }, { "cause", cause }, { "tokens", request.tokens.ends.size() } });
         request.avoided.push_back(failed);
         closeAttempt(context, request, describeOutcome(context, request, true));
-        // Work that was accepted and has made progress is moved at once; first tries are bounded by the budget.
+        // With tokens already generated the request continues at once; otherwise a retry uses the account's retry budget.
         const bool hasProgress = !request.tokens.ends.empty();
         if (hasProgress || Limits::spendRetry(context.state.budgets, request.account))
             beginAttempt(context, request);
         else
-            park(context, request, retryPause);
+            park(context, request, retryDelay);
     }
 
-    bool isRefusedForGood(const attempt_ended& message)
+    bool isPermanentRefusal(const attempt_ended& message)
     {
         const bool isClientError = message.status >= statusBadRequest && message.status < statusServerError;
         return isClientError && message.status != statusTimeout && message.status != statusTooManyRequests;
     }
 
-    std::chrono::milliseconds longestSilence(const request_entry& request)
+    std::chrono::milliseconds stallTimeout(const request_entry& request)
     {
         if (request.attempt->hasFirstToken)
-            return std::max(shortestStall, request.work.betweenTokensTarget * tokenStallTargetFactor);
-        return std::max(shortestStall, request.work.firstTokenTarget * stallTargetFactor);
+            return std::max(minStallTimeout, request.work.betweenTokensTarget * betweenTokensStallFactor);
+        return std::max(minStallTimeout, request.work.firstTokenTarget * firstTokenStallFactor);
     }
 
-    void watchAttempt(step_context& context, request_entry& request)
+    void cancelIfStalled(step_context& context, request_entry& request)
     {
         if (request.attempt->isPaused) {
             request.attempt->lastProgress = context.clock.now;
             return;
         }
-        if (context.clock.now - request.attempt->lastProgress < longestSilence(request))
+        if (context.clock.now - request.attempt->lastProgress < stallTimeout(request))
             return;
         context.output.push_back(cancel_attempt { request.attempt->number });
-        goOnElsewhere(context, request, "stalled");
+        retryElsewhere(context, request, "stalled");
     }
 
-    void noteFirstToken(step_context& context, request_entry& request)
+    void recordFirstToken(step_context& context, request_entry& request)
     {
         if (request.attempt->hasFirstToken)
             return;
@@ -182,7 +187,7 @@
         const double sinceArrival = std::chrono::duration<double>(context.clock.now - request.arrivedAt).count();
         const bool isLate = sinceArrival > std::chrono::duration<double>(request.work.firstTokenTarget).count();
         Routing::learnTargetShare(context.state.router, request.work.name, isLate);
-        note(context, "first_token", request, { { "seconds", sinceArrival }, { "endpoint", request.attempt->endpoint.value } });
+        recordEvent(context, "first_token", request, { { "seconds", sinceArrival }, { "endpoint", request.attempt->endpoint.value } });
     }
 
 } // namespace
@@ -194,9 +199,9 @@
     beginAttempt(context, request);
 }
 
-void takeTokens(step_context& context, request_entry& request, std::vector<std::string>&& texts)
+void appendTokens(step_context& context, request_entry& request, std::vector<std::string>&& texts)
 {
-    noteFirstToken(context, request);
+    recordFirstToken(context, request);
     request.attempt->lastProgress = context.clock.now;
     const uint64_t firstNew = request.tokens.ends.size() + 1;
     for (const std::string& text : texts) {
@@ -216,34 +221,34 @@
     context.output.push_back(pause_attempt { request.attempt->number });
 }
 
-void modelAttemptEnded(step_context& context, request_entry& request, const attempt_ended& message)
+void handleModelAttemptEnd(step_context& context, request_entry& request, const attempt_ended& message)
 {
-    const bool isWhole = message.end == Http::transfer_end::Complete && message.status == statusOk && !message.finishReason.empty();
-    if (isWhole) {
+    const bool isComplete = message.end == Http::transfer_end::Complete && message.status == statusOk && !message.finishReason.empty();
+    if (isComplete) {
         closeAttempt(context, request, describeOutcome(context, request, false));
         request.finishReason = message.finishReason;
-        finish(context, request);
+        finishRequest(context, request);
         return;
     }
-    if (message.end == Http::transfer_end::Complete && isRefusedForGood(message)) {
+    if (message.end == Http::transfer_end::Complete && isPermanentRefusal(message)) {
         closeAttempt(context, request, {});
-        fail(context, request, { Common::failure_kind::EndpointFailed, request.work.name.value, Common::run_state::NotRun, 0 });
+        failRequest(context, request, { Common::failure_kind::EndpointFailed, request.work.name.value, Common::run_state::NotRun, 0 });
         return;
     }
-    goOnElsewhere(context, request, message.end == Http::transfer_end::NotSent ? "refused" : "cut");
+    retryElsewhere(context, request, message.end == Http::transfer_end::NotSent ? "refused" : "cut");
 }
 
-void callerWritten(step_context& context, request_entry& request, const caller_written& message)
+void handleCallerWritten(step_context& context, request_entry& request, const caller_written& message)
 {
     if (!message.isAlive) {
         detachCaller(context, request);
         request.callerGoneAt = context.clock.now;
-        note(context, "caller_gone", request, { { "tokens_sent", request.sentToCaller } });
+        recordEvent(context, "caller_gone", request, { { "tokens_sent", request.sentToCaller } });
         return;
     }
     request.unwrittenBytes -= std::min(request.unwrittenBytes, message.bytes);
-    const bool isLow = request.unwrittenBytes < context.state.settings.pauseAboveBytes / 2;
-    if (!isLow || !request.attempt || !request.attempt->isPaused)
+    const bool isBelowResumeThreshold = request.unwrittenBytes < context.state.settings.pauseAboveBytes / 2;
+    if (!isBelowResumeThreshold || !request.attempt || !request.attempt->isPaused)
         return;
     request.attempt->isPaused = false;
     request.attempt->lastProgress = context.clock.now;
@@ -257,53 +262,53 @@
     request.callerGoneAt.reset();
     request.isStreamed = message.isStreamed;
     context.state.byCaller[message.token.value] = &request;
-    note(context, "caller_resumed", request, { { "after", message.afterPosition } });
+    recordEvent(context, "caller_resumed", request, { { "after", message.afterPosition } });
     if (request.isStreamed)
         context.output.push_back(send_stream_head { message.token, request.id, message.afterPosition });
-    sendFrom(context, request, message.afterPosition + 1);
+    sendTokensFrom(context, request, message.afterPosition + 1);
     if (request.phase != request_phase::Finished)
         return;
-    sendEnd(context, request);
-    forget(context, request);
+    sendAnswerEnd(context, request);
+    removeRequest(context, request);
 }
 
 void tickModelWork(step_context& context, request_entry& request)
 {
     const Common::instant now = context.clock.now;
     if (request.callerGoneAt && now - *request.callerGoneAt >= context.state.settings.reconnectGrace) {
-        note(context, "request_abandoned", request, { { "tokens", request.tokens.ends.size() } });
-        forget(context, request);
+        recordEvent(context, "request_abandoned", request, { { "tokens", request.tokens.ends.size() } });
+        removeRequest(context, request);
         return;
     }
     if (now >= request.deadline) {
-        fail(context, request, { Common::failure_kind::DeadlineExceeded, request.work.name.value, Common::run_state::Unknown, 0 });
+        failRequest(context, request, { Common::failure_kind::DeadlineExceeded, request.work.name.value, Common::run_state::Unknown, 0 });
         return;
     }
     if (request.phase == request_phase::Parked && now >= request.notBefore)
         beginAttempt(context, request);
     else if (request.phase == request_phase::Running)
-        watchAttempt(context, request);
+        cancelIfStalled(context, request);
 }
 
 void offerTransfer(step_context& context, request_entry& request)
 {
     if (request.phase == request_phase::Finished)
         return;
-    request_transfer item { request.id, request.account, request.work.name, request.body, {}, request.isStreamed };
+    request_transfer transfer { request.id, request.account, request.work.name, request.body, {}, request.isStreamed };
     for (uint64_t position = 1; position <= request.tokens.ends.size(); ++position)
-        item.tokens.push_back(tokenAt(request.tokens, position));
-    // From here on no token may reach the caller: the taker goes on from what the offer holds.
+        transfer.tokens.push_back(tokenAt(request.tokens, position));
+    // After this no token may reach the caller, because the accepting peer continues from the tokens in the offer.
     if (request.attempt) {
         context.output.push_back(cancel_attempt { request.attempt->number });
         closeAttempt(context, request, {});
     }
     request.isOffered = true;
     park(context, request, offerTimeLimit);
-    note(context, "transfer_offered", request, { { "tokens", item.tokens.size() } });
-    context.output.push_back(offer_transfer { std::move(item) });
+    recordEvent(context, "transfer_offered", request, { { "tokens", transfer.tokens.size() } });
+    context.output.push_back(offer_transfer { std::move(transfer) });
 }
 
-void takeTransfer(step_context& context, transfer_offered&& message)
+void receiveTransfer(step_context& context, transfer_offered&& message)
 {
     dispatch_state& state = context.state;
     const auto work = state.config->classes.find(message.item.work);
@@ -324,25 +329,25 @@
         request->tokens.ends.push_back(static_cast<uint32_t>(request->tokens.text.size()));
     }
     request->arrivedAt = context.clock.now;
-    request->deadline = context.clock.now + state.settings.longestRequest;
+    request->deadline = context.clock.now + state.settings.maxRequestDuration;
     request->callerGoneAt = context.clock.now + transferGrace;
-    request_entry& taken = *request;
-    Limits::noteAdmitted(state.admission, taken.account);
-    state.requests.emplace(taken.id, std::move(request));
-    note(context, "transfer_accepted", taken, { { "from", message.from.value }, { "tokens", taken.tokens.ends.size() } });
-    context.output.push_back(accept_transfer { message.from, taken.id });
-    beginAttempt(context, taken);
+    request_entry& received = *request;
+    Limits::noteAdmitted(state.admission, received.account);
+    state.requests.emplace(received.id, std::move(request));
+    recordEvent(context, "transfer_accepted", received, { { "from", message.from.value }, { "tokens", received.tokens.ends.size() } });
+    context.output.push_back(accept_transfer { message.from, received.id });
+    beginAttempt(context, received);
 }
 
 void finishTransfer(step_context& context, request_entry& request, const std::string& httpAddress)
 {
-    // An offer that was taken back goes on here; the taker's copy ends unused.
+    // The offer was withdrawn and the request continues here; the peer's copy is abandoned because no caller connects.
     if (!request.isOffered)
         return;
     if (request.caller)
         context.output.push_back(send_redirect { *request.caller, request.id, httpAddress, request.isStreamed });
-    note(context, "transfer_finished", request, { { "at", httpAddress } });
-    forget(context, request);
+    recordEvent(context, "transfer_finished", request, { { "at", httpAddress } });
+    removeRequest(context, request);
 }
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/ServiceCall.cpp
+++ b/Source/Core/Dispatch/ServiceCall.cpp
@@ -10,16 +10,17 @@
     using Common::failure_kind;
     using Common::run_state;
 
-    constexpr int comeBackSeconds = 1;
+    constexpr int noEndpointRetryAfterSeconds = 1;
     constexpr uint32_t maxAttempts = 3;
-    constexpr std::chrono::milliseconds recordRetryPause { 500 };
-    /// A claim whose write was lost may land late; it is looked for this long.
+    /// Interval at which an outcome that couldn't be stored is written again and an unsettled claim is read again.
+    constexpr std::chrono::milliseconds recordRetryInterval { 500 };
+    /// A claim write without a reply may be applied late; its row is checked for this long.
     constexpr std::chrono::seconds settlePeriod { 30 };
-    constexpr std::chrono::milliseconds longestServiceCall { 20000 };
+    constexpr std::chrono::milliseconds maxServiceCallDuration { 20000 };
 
     void answerFailure(step_context& context, request_entry& request, const failure& reason)
     {
-        note(context, "call_refused", request, { { "code", nameOf(reason.kind) }, { "run", nameOf(reason.run) } });
+        recordEvent(context, "call_refused", request, { { "code", nameOf(reason.kind) }, { "run", nameOf(reason.run) } });
         if (request.caller)
             context.output.push_back(send_failure { *request.caller, request.id, reason });
         detachCaller(context, request);
@@ -58,13 +59,13 @@
 
     void writeOutcome(step_context& context, request_entry& request)
     {
-        request.notBefore = context.clock.now + recordRetryPause;
+        request.notBefore = context.clock.now + recordRetryInterval;
         const uint64_t claimVersion = request.claim->record.rowVersion + 1;
         context.output.push_back(write_record { request.id, record_step::OutcomeWritten,
             Idempotency::encodeRecord(request.claim->key, *request.unsavedOutcome, claimVersion) });
     }
 
-    void store(step_context& context, request_entry& request, Idempotency::call_state state, Idempotency::call_outcome outcome)
+    void storeOutcome(step_context& context, request_entry& request, Idempotency::call_state state, Idempotency::call_outcome outcome)
     {
         Idempotency::call_record record = request.claim->record;
         record.state = state;
@@ -74,20 +75,20 @@
         writeOutcome(context, request);
     }
 
-    /// The claim stands and nothing was sent.
+    /// Answers with a failure and marks the claim as not run: nothing was sent, so the call can be claimed again.
     void releaseClaim(step_context& context, request_entry& request, const failure& reason)
     {
         answerFailure(context, request, reason);
         if (isAtMostOnce(request))
-            store(context, request, Idempotency::call_state::NotRun, {});
+            storeOutcome(context, request, Idempotency::call_state::NotRun, {});
         else
-            forget(context, request);
+            removeRequest(context, request);
     }
 
     void sendCall(step_context& context, request_entry& request)
     {
         if (!assignEndpoint(context, request)) {
-            releaseClaim(context, request, { failure_kind::NoEndpoint, request.work.name.value, run_state::NotRun, comeBackSeconds });
+            releaseClaim(context, request, { failure_kind::NoEndpoint, request.work.name.value, run_state::NotRun, noEndpointRetryAfterSeconds });
             return;
         }
         const Routing::endpoint_view* view = Routing::findView(context.state.router, request.attempt->endpoint);
@@ -100,18 +101,18 @@
         action.idempotencyKey = request.idempotencyKey;
         action.isModelWork = false;
         action.mayRepeat = !isAtMostOnce(request);
-        action.timeLimit = std::min(longestServiceCall, request.work.answerTarget);
+        action.timeLimit = std::min(maxServiceCallDuration, request.work.answerTarget);
         context.output.push_back(std::move(action));
     }
 
-    void settleLater(step_context& context, request_entry& request)
+    void scheduleSettling(step_context& context, request_entry& request)
     {
         request.phase = request_phase::Settling;
         request.deadline = context.clock.now + settlePeriod;
-        request.notBefore = context.clock.now + recordRetryPause;
+        request.notBefore = context.clock.now + recordRetryInterval;
     }
 
-    void decide(step_context& context, request_entry& request, Idempotency::claim_decision&& decision)
+    void applyDecision(step_context& context, request_entry& request, Idempotency::claim_decision&& decision)
     {
         if (std::holds_alternative<Idempotency::write_claim>(decision))
             writeClaim(context, request);
@@ -120,43 +121,43 @@
         if (std::holds_alternative<Idempotency::send_call>(decision))
             sendCall(context, request);
         if (const auto* replay = std::get_if<Idempotency::replay_outcome>(&decision)) {
-            note(context, "outcome_replayed", request, {});
+            recordEvent(context, "outcome_replayed", request, {});
             answerOutcome(context, request, replay->outcome, true);
-            forget(context, request);
+            removeRequest(context, request);
         }
         const auto* refusal = std::get_if<Idempotency::refuse_call>(&decision);
         if (!refusal)
             return;
         answerFailure(context, request, refusal->reason);
         if (refusal->isUnsettled)
-            settleLater(context, request);
+            scheduleSettling(context, request);
         else
-            forget(context, request);
+            removeRequest(context, request);
     }
 
-    /// A refused claim is marked as not run if its write landed after all.
-    void settle(step_context& context, request_entry& request, const Platform::table_reply& reply)
+    /// Marks the claim of a refused call as not run if its write was applied after all.
+    void settleClaim(step_context& context, request_entry& request, const Platform::table_reply& reply)
     {
         if (reply.outcome != Platform::table_outcome::Done || reply.rows.empty())
             return;
         const auto found = Idempotency::decodeRecord(reply.rows.front());
         const bool isOurs = found && found->attemptToken == request.claim->record.attemptToken && found->state == Idempotency::call_state::Dispatching;
         if (!isOurs) {
-            forget(context, request);
+            removeRequest(context, request);
             return;
         }
         request.claim->record.rowVersion = found->rowVersion - 1;
-        store(context, request, Idempotency::call_state::NotRun, {});
+        storeOutcome(context, request, Idempotency::call_state::NotRun, {});
     }
 
-    void outcomeWritten(step_context& context, request_entry& request, Platform::table_outcome outcome)
+    void handleOutcomeWritten(step_context& context, request_entry& request, Platform::table_outcome outcome)
     {
-        // A failed condition after a lost reply means that the outcome already stands there.
+        // A failed condition means that an earlier write whose reply was lost has already stored the outcome.
         const bool isStored = outcome == Platform::table_outcome::Done || outcome == Platform::table_outcome::ConditionFailed;
         if (!isStored)
             return;
-        note(context, "outcome_stored", request, { { "state", Idempotency::nameOf(request.unsavedOutcome->state) } });
-        forget(context, request);
+        recordEvent(context, "outcome_stored", request, { { "state", Idempotency::nameOf(request.unsavedOutcome->state) } });
+        removeRequest(context, request);
     }
 
     bool isAnswered(const attempt_ended& message)
@@ -186,7 +187,7 @@
     writeClaim(context, request);
 }
 
-void serviceAttemptEnded(step_context& context, request_entry& request, const attempt_ended& message)
+void handleServiceAttemptEnd(step_context& context, request_entry& request, const attempt_ended& message)
 {
     const Common::endpoint_id endpoint = request.attempt->endpoint;
     Routing::attempt_outcome outcome;
@@ -195,19 +196,19 @@
         outcome.answerSeconds = std::chrono::duration<double>(context.clock.now - request.attempt->begunAt).count();
     closeAttempt(context, request, outcome);
     if (isAnswered(message)) {
-        note(context, "call_answered", request, { { "status", message.status }, { "endpoint", endpoint.value }, { "account", request.account.value } });
+        recordEvent(context, "call_answered", request, { { "status", message.status }, { "endpoint", endpoint.value }, { "account", request.account.value } });
         answerOutcome(context, request, { message.status, message.body }, false);
         if (isAtMostOnce(request))
-            store(context, request, Idempotency::call_state::Done, { message.status, message.body });
+            storeOutcome(context, request, Idempotency::call_state::Done, { message.status, message.body });
         else
-            forget(context, request);
+            removeRequest(context, request);
         return;
     }
     request.avoided.push_back(endpoint);
     const bool isProvenUnsent = message.end == Http::transfer_end::NotSent;
-    note(context, "call_attempt_failed", request, { { "endpoint", endpoint.value }, { "sent", !isProvenUnsent } });
+    recordEvent(context, "call_attempt_failed", request, { { "endpoint", endpoint.value }, { "sent", !isProvenUnsent } });
     if (isProvenUnsent) {
-        tryElsewhere(context, request, { failure_kind::NoEndpoint, request.work.name.value, run_state::NotRun, comeBackSeconds });
+        tryElsewhere(context, request, { failure_kind::NoEndpoint, request.work.name.value, run_state::NotRun, noEndpointRetryAfterSeconds });
         return;
     }
     const failure unknown { failure_kind::OutcomeUnknown, request.work.name.value, run_state::Unknown, 0 };
@@ -216,27 +217,27 @@
         return;
     }
     answerFailure(context, request, unknown);
-    store(context, request, Idempotency::call_state::Unknown, {});
+    storeOutcome(context, request, Idempotency::call_state::Unknown, {});
 }
 
-void recordReplied(step_context& context, request_entry& request, const record_reply& message)
+void handleRecordReply(step_context& context, request_entry& request, const record_reply& message)
 {
     switch (message.step) {
     case record_step::ClaimWritten:
         if (request.phase == request_phase::Claiming)
-            decide(context, request, Idempotency::afterClaimWrite(*request.claim, message.reply.outcome));
+            applyDecision(context, request, Idempotency::afterClaimWrite(*request.claim, message.reply.outcome));
         return;
     case record_step::ClaimRead:
         if (request.phase == request_phase::Claiming)
-            decide(context, request, Idempotency::afterClaimRead(*request.claim, message.reply, context.clock.wall));
+            applyDecision(context, request, Idempotency::afterClaimRead(*request.claim, message.reply, context.clock.wall));
         return;
     case record_step::OutcomeWritten:
         if (request.phase == request_phase::Recording)
-            outcomeWritten(context, request, message.reply.outcome);
+            handleOutcomeWritten(context, request, message.reply.outcome);
         return;
     case record_step::SettleRead:
         if (request.phase == request_phase::Settling)
-            settle(context, request, message.reply);
+            settleClaim(context, request, message.reply);
         return;
     }
 }
@@ -245,7 +246,7 @@
 {
     const Common::instant now = context.clock.now;
     if (request.phase == request_phase::Settling && now >= request.deadline) {
-        forget(context, request);
+        removeRequest(context, request);
         return;
     }
     if (now < request.notBefore)
@@ -254,7 +255,7 @@
         writeOutcome(context, request);
     if (request.phase != request_phase::Settling)
         return;
-    request.notBefore = now + recordRetryPause;
+    request.notBefore = now + recordRetryInterval;
     context.output.push_back(read_record { request.id, record_step::SettleRead, request.claim->key });
 }
 
--- a/Source/Core/Dispatch/Tests/EngineCodecTest.cpp
+++ b/Source/Core/Dispatch/Tests/EngineCodecTest.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Engine streams, cut anywhere and with nonsense in them.
+/// Decoding of engine streams: split at any byte, malformed, without line ends.
 
 #include "Dispatch/EngineCodec.h"
 
@@ -18,22 +18,22 @@
 
 TEST_GROUP(EngineCodec) {};
 
-TEST(EngineCodec, ReadsTheSameTokensHoweverTheBytesAreCut)
+TEST(EngineCodec, TheTokensAreTheSameWhereverTheStreamIsSplit)
 {
-    for (size_t piece = 1; piece <= wholeStream.size(); ++piece) {
+    for (size_t chunkSize = 1; chunkSize <= wholeStream.size(); ++chunkSize) {
         engine_stream stream;
         std::string text;
-        for (size_t start = 0; start < wholeStream.size(); start += piece) {
-            for (const std::string& token : readEngineBytes(stream, wholeStream.substr(start, piece)))
+        for (size_t start = 0; start < wholeStream.size(); start += chunkSize) {
+            for (const std::string& token : readEngineBytes(stream, wholeStream.substr(start, chunkSize)))
                 text += token + "|";
         }
         STRCMP_EQUAL("a |b |", text.c_str());
         STRCMP_EQUAL("stop", stream.finishReason.c_str());
-        CHECK(!stream.isNonsense);
+        CHECK(!stream.isMalformed);
     }
 }
 
-TEST(EngineCodec, NonsenseIsNeverAFinishedAnswer)
+TEST(EngineCodec, AMalformedStreamIsNotAFinishedAnswer)
 {
     const char* rows[] = {
         "data: {{{\n\n",
@@ -44,14 +44,14 @@
     for (const char* bytes : rows) {
         engine_stream stream;
         CHECK(readEngineBytes(stream, bytes).empty());
-        CHECK(stream.isNonsense);
+        CHECK(stream.isMalformed);
     }
 }
 
-TEST(EngineCodec, AnEventWithoutEndIsBounded)
+TEST(EngineCodec, AnEventOverTheSizeLimitIsMalformed)
 {
     engine_stream stream;
-    const std::string endless(longestEngineEvent + 1, 'x');
+    const std::string endless(maxEngineEventBytes + 1, 'x');
     static_cast<void>(readEngineBytes(stream, endless));
-    CHECK(stream.isNonsense);
+    CHECK(stream.isMalformed);
 }
--- a/scripts/mutations.py
+++ b/scripts/mutations.py
@@ -22,7 +22,7 @@
      "    context.state.byAttempt.erase(request.attempt->number.value);\n", "",
      ["Tests/Golden/golden-sessions"]),
     ("stall detection", "Source/Core/Dispatch/ModelWork.cpp",
-     "        if (context.clock.now - request.attempt->lastProgress < longestSilence(request))\n            return;",
+     "        if (context.clock.now - request.attempt->lastProgress < stallTimeout(request))\n            return;",
      "        return;",
      ["Tests/Promises/PromisesStreams", "-n", "AnEngineThatStallsAndIgnoresTheCancel"]),
     ("handover of a leaving node", "Source/Core/Dispatch/Dispatcher.cpp",
