--- a/Source/Core/Idempotency/Claim.cpp
+++ b/Source/Core/Idempotency/Claim.cpp
@@ -4,17 +4,17 @@
 
 namespace {
 
-    constexpr int comeBackSeconds = 1;
-    constexpr int comeBackAfterOutageSeconds = 2;
+    constexpr int inProgressRetryAfterSeconds = 1;
+    constexpr int storeOutageRetryAfterSeconds = 2;
 
     refuse_call refuse(Common::failure_kind kind, const call_claim& claim, Common::run_state run, int retryAfterSeconds)
     {
         return { { kind, claim.key.sort, run, retryAfterSeconds }, false };
     }
 
-    refuse_call refuseForStore(const call_claim& claim, bool isUnsettled)
+    refuse_call refuseStoreUnavailable(const call_claim& claim, bool isUnsettled)
     {
-        refuse_call refusal = refuse(Common::failure_kind::StoreUnavailable, claim, Common::run_state::NotRun, comeBackAfterOutageSeconds);
+        refuse_call refusal = refuse(Common::failure_kind::StoreUnavailable, claim, Common::run_state::NotRun, storeOutageRetryAfterSeconds);
         refusal.isUnsettled = isUnsettled;
         return refusal;
     }
@@ -35,9 +35,9 @@
             break;
         }
         const std::chrono::milliseconds age { now.value - found.claimedAt.value };
-        if (age > longestCall)
+        if (age > maxClaimAge)
             return refuse(Common::failure_kind::OutcomeUnknown, claim, Common::run_state::Unknown, 0);
-        return refuse(Common::failure_kind::CallInProgress, claim, Common::run_state::Unknown, comeBackSeconds);
+        return refuse(Common::failure_kind::CallInProgress, claim, Common::run_state::Unknown, inProgressRetryAfterSeconds);
     }
 
 } // namespace
@@ -52,18 +52,18 @@
     case Platform::table_outcome::Unknown:
         return read_claim {};
     case Platform::table_outcome::Unavailable:
-        return refuseForStore(claim, claim.writes > 1);
+        return refuseStoreUnavailable(claim, claim.writes > 1);
     }
-    return refuseForStore(claim, true);
+    return refuseStoreUnavailable(claim, true);
 }
 
 claim_decision afterClaimRead(call_claim& claim, const Platform::table_reply& reply, Common::wall_time now)
 {
     if (reply.outcome != Platform::table_outcome::Done)
-        return refuseForStore(claim, true);
+        return refuseStoreUnavailable(claim, true);
     if (reply.rows.empty()) {
         if (claim.writes >= maxClaimWrites)
-            return refuseForStore(claim, true);
+            return refuseStoreUnavailable(claim, true);
         return write_claim {};
     }
     const auto found = decodeRecord(reply.rows.front());
@@ -71,7 +71,7 @@
         return refuse(Common::failure_kind::OutcomeUnknown, claim, Common::run_state::Unknown, 0);
     if (found->attemptToken != claim.record.attemptToken)
         return answerDuplicate(claim, *found, now);
-    // The reply of our own write was lost after it took effect.
+    // This attempt's own write was applied and only its reply was lost.
     claim.record.rowVersion = found->rowVersion - 1;
     return send_call {};
 }
--- a/Source/Core/Idempotency/Tests/ClaimTest.cpp
+++ b/Source/Core/Idempotency/Tests/ClaimTest.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// At-most-once: what each reply of the table service allows.
+/// At-most-once calls: the next step after each reply of the table service.
 
 #include "Idempotency/Claim.h"
 
@@ -52,7 +52,7 @@
 
 TEST_GROUP(Claim) {};
 
-TEST(Claim, NothingIsSentWithoutAWonWrite)
+TEST(Claim, ACallIsSentOnlyAfterItsClaimIsWritten)
 {
     struct row {
         table_outcome outcome;
@@ -70,7 +70,7 @@
     }
 }
 
-TEST(Claim, ReadBackSettlesEachCase)
+TEST(Claim, TheRowReadBackDecidesWhetherTheCallIsSentReplayedOrRefused)
 {
     struct row {
         Platform::table_reply reply;
@@ -82,22 +82,22 @@
     using Common::failure_kind;
     using Common::run_state;
     const row rows[] = {
-        // Our own write took effect and its reply was lost.
+        // The attempt's own write was applied and its reply was lost.
         { rowOf(call_state::Dispatching, "mine", "body", 100000), 1, expected_decision::Send, {}, {} },
-        // The write never landed: again, within bounds.
+        // The write was not applied: it is repeated up to maxClaimWrites times.
         { { table_outcome::Done, {} }, 1, expected_decision::Write, {}, {} },
         { { table_outcome::Done, {} }, maxClaimWrites, expected_decision::Refuse, failure_kind::StoreUnavailable, run_state::NotRun },
-        // The store is gone: nothing was sent, so "not run" is the truth.
+        // The table service is unavailable: nothing was sent, so the call has certainly not run.
         { { table_outcome::Unavailable, {} }, 1, expected_decision::Refuse, failure_kind::StoreUnavailable, run_state::NotRun },
-        // Another attempt has it.
+        // Another attempt claimed the call a second ago.
         { rowOf(call_state::Dispatching, "other", "body", 99000), 1, expected_decision::Refuse, failure_kind::CallInProgress, run_state::Unknown },
-        // Its node must be dead by now.
+        // The claim is older than the limit: its attempt was abandoned.
         { rowOf(call_state::Dispatching, "other", "body", 0), 1, expected_decision::Refuse, failure_kind::OutcomeUnknown, run_state::Unknown },
         { rowOf(call_state::Unknown, "other", "body", 99000), 1, expected_decision::Refuse, failure_kind::OutcomeUnknown, run_state::Unknown },
-        // Duplicates get the stored outcome, but not for another body.
+        // A duplicate gets the stored outcome; the same key with a different body is refused.
         { rowOf(call_state::Done, "other", "body", 0), 1, expected_decision::Replay, {}, {} },
         { rowOf(call_state::Done, "other", "changed", 0), 1, expected_decision::Refuse, failure_kind::IdempotencyKeyReused, run_state::NotRun },
-        // Proven not to have run: may be claimed again.
+        // The call was never sent: it may be claimed again.
         { rowOf(call_state::NotRun, "other", "body", 0), 1, expected_decision::Write, {}, {} },
     };
     for (const row& item : rows) {
@@ -112,7 +112,7 @@
     }
 }
 
-TEST(Claim, ANewClaimReplacesExactlyTheRowThatWasRead)
+TEST(Claim, AClaimReplacesOnlyTheRowVersionThatWasRead)
 {
     call_claim claim = makeClaim(1);
     Platform::table_reply reply = rowOf(call_state::NotRun, "other", "body", 0);
