--- a/Source/Core/Rollout/Judgement.cpp
+++ b/Source/Core/Rollout/Judgement.cpp
@@ -7,52 +7,54 @@
 
 namespace {
 
-    constexpr uint64_t fewestBadEvents = 4;
-    /// How improbable the bad events must be for a version that is as good as the one before. Small, because the
-    /// counts are looked at after every bad event.
-    constexpr double requiredImprobability = 2e-5;
-    /// A worse rate than before by less than this is no reason to take a version back.
+    /// With fewer failed or late attempts a version is not reported as worse.
+    constexpr uint64_t minBadEvents = 4;
+    /// Significance level of the test: the bad events must be less probable than this for a version as good as the one
+    /// before. Small, because the test is repeated after every bad event.
+    constexpr double significanceLevel = 2e-5;
+    /// Increase in the rate of bad events that does not count as worse.
     constexpr double toleratedDifference = 0.01;
-    /// Taken as the rate of the version before while nothing is known of it.
-    constexpr double unknownRate = 0.1;
-    constexpr double highestRate = 0.999;
+    /// Rate of bad events assumed for the previous version while it has no ended attempts.
+    constexpr double assumedPreviousRate = 0.1;
+    /// Upper bound of the tested rate: log1p(-rate) is not finite at 1.
+    constexpr double maxRate = 0.999;
 
-    /// @return the probability of at least `bad` bad events among `all` when each has probability `rate`.
-    double upperTail(uint64_t bad, uint64_t all, double rate)
+    /// @return the probability of at least `bad` bad events among `total` when each has probability `rate`.
+    double upperTail(uint64_t bad, uint64_t total, double rate)
     {
-        constexpr double negligible = 1e-12;
-        const auto count = static_cast<double>(all);
+        constexpr double negligibleTerm = 1e-12;
+        const auto count = static_cast<double>(total);
         double tail = 0;
-        for (uint64_t events = bad; events <= all; ++events) {
+        for (uint64_t events = bad; events <= total; ++events) {
             const auto number = static_cast<double>(events);
             const double logTerm = std::lgamma(count + 1) - std::lgamma(number + 1) - std::lgamma(count - number + 1)
                 + number * std::log(rate) + (count - number) * std::log1p(-rate);
             const double term = std::exp(logTerm);
             tail += term;
-            if (number > count * rate && term < negligible)
+            if (number > count * rate && term < negligibleTerm)
                 break;
         }
         return tail;
     }
 
-    bool isWorse(uint64_t freshBad, uint64_t freshAll, uint64_t previousBad, uint64_t previousAll)
+    bool isWorse(uint64_t candidateBad, uint64_t candidateTotal, uint64_t previousBad, uint64_t previousTotal)
     {
-        if (freshBad < fewestBadEvents || freshAll == 0)
+        if (candidateBad < minBadEvents || candidateTotal == 0)
             return false;
-        // One bad event is added, so that a spotless past is not taken as certainty.
-        const double knownRate = previousAll == 0 ? unknownRate : static_cast<double>(previousBad + 1) / static_cast<double>(previousAll + 1);
-        const double rate = std::min(knownRate + toleratedDifference, highestRate);
-        return upperTail(freshBad, freshAll, rate) < requiredImprobability;
+        // One bad event is added, so that a previous version without any does not get the rate zero.
+        const double previousRate = previousTotal == 0 ? assumedPreviousRate : static_cast<double>(previousBad + 1) / static_cast<double>(previousTotal + 1);
+        const double rate = std::min(previousRate + toleratedDifference, maxRate);
+        return upperTail(candidateBad, candidateTotal, rate) < significanceLevel;
     }
 
 } // namespace
 
-evidence operator+(const evidence& left, const evidence& right)
+attempt_counts operator+(const attempt_counts& left, const attempt_counts& right)
 {
     return { left.begun + right.begun, left.ended + right.ended, left.failed + right.failed, left.late + right.late };
 }
 
-verdict judge(const comparison& counts)
+verdict evaluate(const comparison& counts)
 {
     if (isWorse(counts.fresh.failed, counts.fresh.ended, counts.previous.failed, counts.previous.ended))
         return verdict::Failing;
@@ -61,9 +63,9 @@
     return verdict::NoFault;
 }
 
-std::string nameOf(verdict item)
+std::string nameOf(verdict value)
 {
-    switch (item) {
+    switch (value) {
     case verdict::NoFault:
         return "no_fault";
     case verdict::Failing:
--- a/Source/Core/Rollout/Judgement.h
+++ b/Source/Core/Rollout/Judgement.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Whether a version is worse than the one before it on the same class of work at the same time.
+/// Statistical comparison of a new version with the version before it, on one class of work over the same period.
 
 #include <cstdint>
 #include <string>
@@ -9,21 +9,22 @@
 namespace Rollout {
 
 /// Attempts of one class at one version, counted since the rollout began.
-struct evidence {
+struct attempt_counts {
     uint64_t begun { 0 };
     uint64_t ended { 0 };
     uint64_t failed { 0 };
-    uint64_t late { 0 }; ///< Answered, but later than the class's target.
+    uint64_t late { 0 }; ///< Answered, but after the class's latency target.
 };
 
-evidence operator+(const evidence& left, const evidence& right);
+attempt_counts operator+(const attempt_counts& left, const attempt_counts& right);
 
-/// Both versions, counted over the same time.
+/// Counts of both versions over the same period.
 struct comparison {
-    evidence fresh;
-    evidence previous;
+    attempt_counts fresh; ///< Of the new version.
+    attempt_counts previous; ///< Of the version before it.
 };
 
+/// Result of the comparison.
 enum class verdict {
     NoFault,
     Failing,
@@ -31,11 +32,12 @@
 };
 
 /// @param counts both versions of one class.
-/// @return whether the fresh version is worse beyond noise.
-verdict judge(const comparison& counts);
+/// @return Failing or Late when the new version's rate of such attempts is significantly higher than the previous
+/// version's; Failing when both are.
+verdict evaluate(const comparison& counts);
 
-/// @param item a verdict.
-/// @return its stable name.
-std::string nameOf(verdict item);
+/// @param value a verdict.
+/// @return its name as used in causes of a latch.
+std::string nameOf(verdict value);
 
 } // namespace Rollout
--- a/Source/Core/Rollout/Rollout.cpp
+++ b/Source/Core/Rollout/Rollout.cpp
@@ -8,66 +8,72 @@
 
     using actions = std::vector<rollout_action>;
 
-    constexpr uint64_t fewestNeeded = 8;
-    /// Each stage may use this share of the time until the deadline; the rest is spare.
+    /// Lower bound of the required attempts when traffic is low.
+    constexpr uint64_t minRequiredEnded = 8;
+    /// Share of the planned time that each stage may use; what the stages leave is reserve before the deadline.
     constexpr double stageTimeShare = 0.18;
-    /// At this share of the time a version that is not proven is taken back, in time for the deadline.
+    /// Share of the planned time after which an unproven version is taken back, so that this is recorded before the
+    /// deadline.
     constexpr double takeBackTimeShare = 0.95;
-    constexpr uint32_t allTraffic = 1000;
-    constexpr int64_t longestPlanMilliseconds = 3600000;
-    constexpr uint64_t fewestUnanswered = 4;
+    constexpr uint32_t allTraffic = 1000; ///< Thousandths.
+    /// Planned time of a rollout whose deadline is not after its start.
+    constexpr int64_t fallbackPlanMilliseconds = 3600000;
+    /// Lower bound of a node's limit of unanswered attempts at the new version.
+    constexpr uint64_t minUnansweredLimit = 4;
 
-    evidence sum(const class_evidence& counts, evidence comparison::*side)
+    attempt_counts sum(const class_evidence& counts, attempt_counts comparison::*side)
     {
-        evidence total;
-        for (const auto& [work, item] : counts)
-            total = total + item.*side;
+        attempt_counts total;
+        for (const auto& [work, compared] : counts)
+            total = total + compared.*side;
         return total;
     }
 
-    int64_t planned(const active_rollout& item)
+    int64_t plannedMilliseconds(const active_rollout& rollout)
     {
-        const int64_t time = item.version.deadline.value - item.version.startedAt.value;
-        return time > 0 ? time : longestPlanMilliseconds;
+        const int64_t time = rollout.version.deadline.value - rollout.version.startedAt.value;
+        return time > 0 ? time : fallbackPlanMilliseconds;
     }
 
-    double timeShare(const active_rollout& item, Common::wall_time now)
+    double timeShare(const active_rollout& rollout, Common::wall_time now)
     {
-        return static_cast<double>(now.value - item.version.startedAt.value) / static_cast<double>(planned(item));
+        return static_cast<double>(now.value - rollout.version.startedAt.value) / static_cast<double>(plannedMilliseconds(rollout));
     }
 
-    double attemptsPerMillisecond(const active_rollout& item, const class_evidence& pooled, Common::wall_time now)
+    double attemptsPerMillisecond(const active_rollout& rollout, const class_evidence& pooled, Common::wall_time now)
     {
-        const int64_t elapsed = std::max<int64_t>(now.value - item.version.startedAt.value, 1);
+        const int64_t elapsed = std::max<int64_t>(now.value - rollout.version.startedAt.value, 1);
         return static_cast<double>(sum(pooled, &comparison::fresh).begun + sum(pooled, &comparison::previous).begun) / static_cast<double>(elapsed);
     }
 
-    /// With thin traffic less evidence has to do, but never less than a few attempts.
-    uint64_t needed(const rollout_settings& settings, const active_rollout& item, const class_evidence& pooled, Common::wall_time now)
+    /// @return how many attempts at the new version must have ended to pass this stage: fewer when the traffic is too low to
+    /// bring the stage's number in time, but at least minRequiredEnded.
+    uint64_t requiredAttempts(const rollout_settings& settings, const active_rollout& rollout, const class_evidence& pooled, Common::wall_time now)
     {
-        const rollout_stage& stage = settings.stages[item.stage];
-        const double expected = attemptsPerMillisecond(item, pooled, now) * stageTimeShare * static_cast<double>(planned(item)) * stage.mostShare / 1000;
-        return std::clamp(static_cast<uint64_t>(expected / 2), fewestNeeded, stage.neededEnded);
+        const rollout_stage& stage = settings.stages[rollout.stage];
+        const double expected = attemptsPerMillisecond(rollout, pooled, now) * stageTimeShare * static_cast<double>(plannedMilliseconds(rollout)) * stage.maxShare / 1000;
+        return std::clamp(static_cast<uint64_t>(expected / 2), minRequiredEnded, stage.requiredEnded);
     }
 
-    /// The stage's share, raised within bounds when it would not bring the evidence in time.
-    uint32_t chooseShare(const rollout_settings& settings, const active_rollout& item, const class_evidence& pooled, Common::wall_time now)
+    /// @return the stage's share in thousandths, raised up to its maximum when it would not yield the required attempts
+    /// in time.
+    uint32_t chooseShare(const rollout_settings& settings, const active_rollout& rollout, const class_evidence& pooled, Common::wall_time now)
     {
-        const rollout_stage& stage = settings.stages[item.stage];
-        const double arriving = attemptsPerMillisecond(item, pooled, now) * stageTimeShare * static_cast<double>(planned(item));
-        if (arriving <= 0)
+        const rollout_stage& stage = settings.stages[rollout.stage];
+        const double stageAttempts = attemptsPerMillisecond(rollout, pooled, now) * stageTimeShare * static_cast<double>(plannedMilliseconds(rollout));
+        if (stageAttempts <= 0)
             return stage.share;
-        const double wanted = 1000 * static_cast<double>(needed(settings, item, pooled, now)) / (arriving / 2);
-        return static_cast<uint32_t>(std::clamp(wanted, static_cast<double>(stage.share), static_cast<double>(stage.mostShare)));
+        const double wanted = 1000 * static_cast<double>(requiredAttempts(settings, rollout, pooled, now)) / (stageAttempts / 2);
+        return static_cast<uint32_t>(std::clamp(wanted, static_cast<double>(stage.share), static_cast<double>(stage.maxShare)));
     }
 
-    /// Exposure is bounded by count: while too many attempts are unanswered no further ones are begun.
-    bool isOverexposed(const rollout_state& state, const active_rollout& item)
+    /// Limits exposure by count: while too many attempts at the new version are unanswered, it gets no further ones.
+    bool isOverexposed(const rollout_state& state, const active_rollout& rollout)
     {
-        const evidence own = sum(item.own, &comparison::fresh);
+        const attempt_counts own = sum(rollout.own, &comparison::fresh);
         const uint64_t unanswered = own.begun - std::min(own.begun, own.ended);
-        const uint64_t allowed = std::max(fewestUnanswered, state.settings.stages[item.stage].neededEnded / std::max<size_t>(state.nodes, 1));
-        return item.stage + 1 < state.settings.stages.size() && unanswered >= allowed;
+        const uint64_t allowed = std::max(minUnansweredLimit, state.settings.stages[rollout.stage].requiredEnded / std::max<size_t>(state.nodes, 1));
+        return rollout.stage + 1 < state.settings.stages.size() && unanswered >= allowed;
     }
 
     void publish(rollout_state& state, const rollout_key& key, uint32_t share, actions& output)
@@ -82,10 +88,10 @@
 
     std::string describe(const class_evidence& pooled)
     {
-        const evidence fresh = sum(pooled, &comparison::fresh);
-        const evidence previous = sum(pooled, &comparison::previous);
-        return "new " + std::to_string(fresh.failed) + " failed, " + std::to_string(fresh.late) + " late of " + std::to_string(fresh.ended)
-            + "; old " + std::to_string(previous.failed) + " failed, " + std::to_string(previous.late) + " late of " + std::to_string(previous.ended);
+        const attempt_counts fresh = sum(pooled, &comparison::fresh);
+        const attempt_counts previous = sum(pooled, &comparison::previous);
+        return "new version: " + std::to_string(fresh.failed) + " failed, " + std::to_string(fresh.late) + " late of " + std::to_string(fresh.ended)
+            + " attempts; previous version: " + std::to_string(previous.failed) + " failed, " + std::to_string(previous.late) + " late of " + std::to_string(previous.ended);
     }
 
     void latch(rollout_state& state, const rollout_key& key, const std::string& cause, actions& output)
@@ -101,80 +107,80 @@
         output.push_back(tell_latch { key, cause });
     }
 
-    void propose(const rollout_settings& settings, active_rollout& item, Configuration::version_state end, const std::string& cause, Common::wall_time now, actions& output)
+    void propose(const rollout_settings& settings, active_rollout& rollout, Configuration::version_state end, const std::string& cause, Common::wall_time now, actions& output)
     {
-        if (now < item.nextProposal)
+        if (now < rollout.nextProposal)
             return;
-        item.nextProposal = { now.value + settings.proposalIntervalMs };
-        Configuration::endpoint_version version = item.version;
+        rollout.nextProposal = { now.value + settings.proposalIntervalMs };
+        Configuration::endpoint_version version = rollout.version;
         version.state = end;
         version.cause = cause;
         output.push_back(propose_end { std::move(version), cause });
     }
 
-    void judgeAll(rollout_state& state, const rollout_key& key, const class_evidence& pooled, actions& output)
+    void evaluateClasses(rollout_state& state, const rollout_key& key, const class_evidence& pooled, actions& output)
     {
         for (const auto& [work, counts] : pooled) {
-            const verdict found = judge(counts);
+            const verdict found = evaluate(counts);
             if (found == verdict::NoFault)
                 continue;
-            latch(state, key, nameOf(found) + " on " + work.value + ": " + describe({ { work, counts } }), output);
+            latch(state, key, nameOf(found) + " on class " + work.value + ": " + describe({ { work, counts } }), output);
             return;
         }
     }
 
-    void advance(const rollout_settings& settings, active_rollout& item, const class_evidence& pooled, Common::wall_time now)
+    void advance(const rollout_settings& settings, active_rollout& rollout, const class_evidence& pooled, Common::wall_time now)
     {
-        if (item.stage + 1 >= settings.stages.size())
+        if (rollout.stage + 1 >= settings.stages.size())
             return;
-        if (sum(pooled, &comparison::fresh).ended < needed(settings, item, pooled, now))
+        if (sum(pooled, &comparison::fresh).ended < requiredAttempts(settings, rollout, pooled, now))
             return;
-        item.stage += 1;
+        rollout.stage += 1;
     }
 
-    bool isProven(const rollout_settings& settings, const active_rollout& item, const class_evidence& pooled, Common::wall_time now)
+    bool isProven(const rollout_settings& settings, const active_rollout& rollout, const class_evidence& pooled, Common::wall_time now)
     {
-        return item.stage + 1 == settings.stages.size() && sum(pooled, &comparison::fresh).ended >= needed(settings, item, pooled, now);
+        return rollout.stage + 1 == settings.stages.size() && sum(pooled, &comparison::fresh).ended >= requiredAttempts(settings, rollout, pooled, now);
     }
 
-    void takeOver(rollout_state& state, const rollout_key& key, active_rollout& item, const class_evidence& pooled, Common::wall_time now, actions& output)
+    void takeOver(rollout_state& state, const rollout_key& key, active_rollout& rollout, const class_evidence& pooled, Common::wall_time now, actions& output)
     {
         const bool movesAllFirst = state.settings.endTimeShare > 0;
-        if (!movesAllFirst || timeShare(item, now) >= state.settings.endTimeShare)
-            propose(state.settings, item, Configuration::version_state::Current, "proven: " + describe(pooled), now, output);
-        publish(state, key, movesAllFirst ? allTraffic : chooseShare(state.settings, item, pooled, now), output);
+        if (!movesAllFirst || timeShare(rollout, now) >= state.settings.endTimeShare)
+            propose(state.settings, rollout, Configuration::version_state::Current, "proven: " + describe(pooled), now, output);
+        publish(state, key, movesAllFirst ? allTraffic : chooseShare(state.settings, rollout, pooled, now), output);
     }
 
-    void tickRollout(rollout_state& state, const rollout_key& key, active_rollout& item, Common::wall_time now, actions& output)
+    void tickRollout(rollout_state& state, const rollout_key& key, active_rollout& rollout, Common::wall_time now, actions& output)
     {
-        const class_evidence pooled = poolEvidence(item);
-        if (!item.isLatched)
-            judgeAll(state, key, pooled, output);
-        if (item.isLatched) {
-            propose(state.settings, item, Configuration::version_state::TakenBack, item.cause, now, output);
+        const class_evidence pooled = poolEvidence(rollout);
+        if (!rollout.isLatched)
+            evaluateClasses(state, key, pooled, output);
+        if (rollout.isLatched) {
+            propose(state.settings, rollout, Configuration::version_state::TakenBack, rollout.cause, now, output);
             return;
         }
-        advance(state.settings, item, pooled, now);
-        const double elapsed = timeShare(item, now);
-        if (isProven(state.settings, item, pooled, now) && elapsed >= state.settings.takeOverTimeShare)
-            return takeOver(state, key, item, pooled, now, output);
+        advance(state.settings, rollout, pooled, now);
+        const double elapsed = timeShare(rollout, now);
+        if (isProven(state.settings, rollout, pooled, now) && elapsed >= state.settings.takeOverTimeShare)
+            return takeOver(state, key, rollout, pooled, now, output);
         if (elapsed >= takeBackTimeShare)
-            propose(state.settings, item, Configuration::version_state::TakenBack, "not proven in time: " + describe(pooled), now, output);
-        publish(state, key, isOverexposed(state, item) ? 0 : chooseShare(state.settings, item, pooled, now), output);
+            propose(state.settings, rollout, Configuration::version_state::TakenBack, "not proven in time: " + describe(pooled), now, output);
+        publish(state, key, isOverexposed(state, rollout) ? 0 : chooseShare(state.settings, rollout, pooled, now), output);
     }
 
     void begin(rollout_state& state, const rollout_key& key, const Configuration::endpoint_version& version, actions& output)
     {
         if (state.active.contains(key))
             return;
-        active_rollout item;
-        item.version = version;
+        active_rollout rollout;
+        rollout.version = version;
         const auto known = state.latched.find(key);
         if (known != state.latched.end()) {
-            item.isLatched = true;
-            item.cause = known->second;
+            rollout.isLatched = true;
+            rollout.cause = known->second;
         }
-        state.active.emplace(key, std::move(item));
+        state.active.emplace(key, std::move(rollout));
         publish(state, key, known != state.latched.end() ? 0 : state.settings.stages.front().share, output);
     }
 
@@ -196,7 +202,7 @@
             return std::none_of(running.begin(), running.end(), [&](const auto& item) { return item.first == entry.first; });
         });
         for (const auto& [service, known] : state.published) {
-            for (const auto& [key, item] : state.active) {
+            for (const auto& [key, rollout] : state.active) {
                 if (key.service == service && known.contains(key.version))
                     shares[service][key.version] = known.at(key.version);
             }
@@ -215,7 +221,7 @@
             begin(state, key, version, output);
     }
 
-    void count(evidence& counts, attempt_event event)
+    void count(attempt_counts& counts, attempt_event event)
     {
         if (event == attempt_event::Begun) {
             ++counts.begun;
@@ -232,19 +238,19 @@
 
     void handle(rollout_state& state, attempt_observed&& message, Common::wall_time, actions& output)
     {
-        for (auto& [key, item] : state.active) {
-            if (key.service != message.service || item.isLatched)
+        for (auto& [key, rollout] : state.active) {
+            if (key.service != message.service || rollout.isLatched)
                 continue;
-            comparison& counts = item.own[message.work];
-            const bool isFresh = key.version == message.version;
-            count(isFresh ? counts.fresh : counts.previous, message.event);
-            if (!isFresh)
+            comparison& counts = rollout.own[message.work];
+            const bool isCandidate = key.version == message.version;
+            count(isCandidate ? counts.fresh : counts.previous, message.event);
+            if (!isCandidate)
                 continue;
-            if (isOverexposed(state, item))
+            if (isOverexposed(state, rollout))
                 publish(state, key, 0, output);
-            // A bad event is looked at when it happens, not at the next tick.
+            // Bad events are evaluated at once, because more attempts would fail before the next tick.
             if (message.event == attempt_event::Failed || message.event == attempt_event::Late)
-                judgeAll(state, key, poolEvidence(item), output);
+                evaluateClasses(state, key, poolEvidence(rollout), output);
         }
     }
 
@@ -254,7 +260,7 @@
         if (found == state.active.end() || found->second.isLatched)
             return;
         found->second.peers[message.node] = std::move(message.counts);
-        judgeAll(state, message.key, poolEvidence(found->second), output);
+        evaluateClasses(state, message.key, poolEvidence(found->second), output);
     }
 
     void handle(rollout_state& state, peer_latch&& message, Common::wall_time, actions& output)
@@ -269,25 +275,25 @@
 
     void handle(rollout_state& state, rollout_tick&&, Common::wall_time now, actions& output)
     {
-        const bool isTelling = now >= state.nextEvidence;
-        if (isTelling)
+        const bool isBroadcastDue = now >= state.nextEvidence;
+        if (isBroadcastDue)
             state.nextEvidence = { now.value + state.settings.evidenceIntervalMs };
-        for (auto& [key, item] : state.active) {
-            tickRollout(state, key, item, now, output);
-            if (isTelling && !item.own.empty())
-                output.push_back(tell_evidence { key, item.own });
-            // A node that joins later has to learn of the latch as well.
-            if (isTelling && item.isLatched)
-                output.push_back(tell_latch { key, item.cause });
+        for (auto& [key, rollout] : state.active) {
+            tickRollout(state, key, rollout, now, output);
+            if (isBroadcastDue && !rollout.own.empty())
+                output.push_back(tell_evidence { key, rollout.own });
+            // Repeated at each interval, because nodes that join later need the latch as well.
+            if (isBroadcastDue && rollout.isLatched)
+                output.push_back(tell_latch { key, rollout.cause });
         }
     }
 
 } // namespace
 
-class_evidence poolEvidence(const active_rollout& item)
+class_evidence poolEvidence(const active_rollout& rollout)
 {
-    class_evidence pooled = item.own;
-    for (const auto& [node, counts] : item.peers) {
+    class_evidence pooled = rollout.own;
+    for (const auto& [node, counts] : rollout.peers) {
         for (const auto& [work, compared] : counts) {
             pooled[work].fresh = pooled[work].fresh + compared.fresh;
             pooled[work].previous = pooled[work].previous + compared.previous;
--- a/Source/Core/Rollout/Rollout.h
+++ b/Source/Core/Rollout/Rollout.h
@@ -1,9 +1,10 @@
 #pragma once
 
 /// @file
-/// The decisions of the rollout duty. Every node runs them alike: the share of a new version follows from the
-/// configuration, the clock and the evidence that all nodes pool; badness latches on any node and is told to all.
-/// Only the end, taken over or taken back, is written to the configuration's chain. No clock, no socket.
+/// The decisions of the rollout duty. Every node makes the same ones: the traffic share of a new version follows from
+/// the configuration, the clock and the evidence pooled from all nodes. A node that finds the version bad latches it: the
+/// share drops to zero for good, and the latch is broadcast to all nodes. Only the end of a rollout (taken over or
+/// taken back) is written to the configuration's version chain. No clock, no socket.
 
 #include "Configuration/Model.h"
 #include "Rollout/Judgement.h"
@@ -16,7 +17,7 @@
 
 using class_evidence = std::map<Common::class_name, comparison>;
 
-/// Which rollout: a service and its new version.
+/// Identifies a rollout by the service and its new version.
 struct rollout_key {
     std::string service;
     Common::version_name version;
@@ -33,10 +34,10 @@
     Good,
     Failed,
     Late,
-    Abandoned, ///< Ended for a reason that says nothing of the version.
+    Abandoned, ///< Ended for a reason unrelated to the version; no longer counted as begun.
 };
 
-/// What this node's dispatch saw of one attempt.
+/// An event of one attempt, observed by this node's dispatch.
 struct attempt_observed {
     std::string service;
     Common::version_name version;
@@ -44,7 +45,7 @@
     attempt_event event { attempt_event::Begun };
 };
 
-/// All that a peer has counted of a rollout so far; replaces what it told before.
+/// All that a peer has counted for a rollout so far; replaces the peer's earlier evidence.
 struct peer_evidence {
     Common::node_id node;
     rollout_key key;
@@ -57,28 +58,31 @@
     std::string cause;
 };
 
+/// The number of alive nodes changed; the limit of unanswered attempts is divided by it.
 struct nodes_counted {
-    size_t nodes { 1 };
+    size_t nodes { 1 }; ///< This node included.
 };
 
 struct rollout_tick { };
 
 using rollout_message = std::variant<configuration_seen, attempt_observed, peer_evidence, peer_latch, nodes_counted, rollout_tick>;
 
-/// Shares in thousandths, by version; a version that is not listed takes the rest.
+/// Traffic shares in thousandths, by version. A version that is not listed receives the remaining traffic.
 using version_shares = std::map<Common::version_name, uint32_t>;
 
 struct publish_shares {
     std::string service;
-    Common::version_name current; ///< Takes the rest when set.
+    Common::version_name current; ///< When set, the version that receives the remaining traffic.
     version_shares shares;
 };
 
+/// Broadcast this node's evidence to the peers.
 struct tell_evidence {
     rollout_key key;
     class_evidence counts;
 };
 
+/// Broadcast to the peers that the version is latched as bad.
 struct tell_latch {
     rollout_key key;
     std::string cause;
@@ -94,22 +98,20 @@
 
 struct active_rollout {
     Configuration::endpoint_version version;
-    class_evidence own;
-    std::map<Common::node_id, class_evidence> peers;
-    size_t stage { 0 };
+    class_evidence own; ///< Counted by this node.
+    std::map<Common::node_id, class_evidence> peers; ///< The latest evidence of each peer.
+    size_t stage { 0 }; ///< Index into rollout_settings::stages.
     bool isLatched { false };
-    std::string cause;
-    Common::wall_time nextProposal;
+    std::string cause; ///< Why it is latched.
+    Common::wall_time nextProposal; ///< Earliest time of the next proposal to end the rollout.
 };
 
-/// One stage of a rollout.
 struct rollout_stage {
     uint32_t share; ///< Thousandths of the traffic.
-    uint32_t mostShare; ///< Raised up to this when traffic is too thin for the evidence.
-    uint64_t neededEnded; ///< Attempts that must have ended without a fault before the next stage.
+    uint32_t maxShare; ///< Thousandths; the share is raised up to this when low traffic yields too little evidence.
+    uint64_t requiredEnded; ///< Attempts at the new version that must have ended before the next stage.
 };
 
-/// How rollouts proceed.
 struct rollout_settings {
     std::vector<rollout_stage> stages {
         { 10, 50, 20 },
@@ -117,33 +119,35 @@
         { 200, 300, 150 },
         { 500, 500, 300 },
     };
-    /// At this share of the time a version that has passed all stages takes over.
+    /// Share of the planned time after which a version that has passed all stages takes over.
     double takeOverTimeShare { 0.8 };
-    /// When set, a proven version first gets all traffic, and its end is proposed at this share of the time: where the
-    /// endpoints of the version before end with the rollout, nothing may run on them any more.
+    /// When above zero, a proven version first gets all traffic, and the end of the rollout is proposed only after this
+    /// share of the planned time. Needed where the endpoints of the previous version are removed when the rollout ends:
+    /// no request may be running on them by then.
     double endTimeShare { 0 };
-    int64_t evidenceIntervalMs { 1000 };
-    int64_t proposalIntervalMs { 5000 };
+    int64_t evidenceIntervalMs { 1000 }; ///< Between broadcasts of evidence and latches.
+    int64_t proposalIntervalMs { 5000 }; ///< Between proposals to end the same rollout.
 };
 
 struct rollout_state {
     rollout_settings settings;
     std::map<rollout_key, active_rollout> active;
-    std::map<rollout_key, std::string> latched; ///< Stays after the rollout's end: a latch never opens.
-    std::map<std::string, version_shares> published;
-    std::map<std::string, Common::version_name> current; ///< By service.
+    std::map<rollout_key, std::string> latched; ///< Cause by rollout. Permanent: entries outlive the rollout.
+    std::map<std::string, version_shares> published; ///< The shares published last, by service.
+    std::map<std::string, Common::version_name> current; ///< The current version, by service.
     size_t nodes { 1 };
     Common::wall_time nextEvidence;
 };
 
-/// @param state all rollouts under way; changed in place.
-/// @param message what happened.
-/// @param now wall-clock time, since deadlines outlive processes.
-/// @return what other duties have to do.
+/// Applies one message to the rollouts.
+/// @param state all active rollouts; changed in place.
+/// @param message the event.
+/// @param now wall-clock time, because deadlines have to stay valid when a process restarts.
+/// @return the actions for other duties.
 std::vector<rollout_action> stepRollout(rollout_state& state, rollout_message&& message, Common::wall_time now);
 
-/// @param item a rollout.
-/// @return the evidence of all nodes together.
-class_evidence poolEvidence(const active_rollout& item);
+/// @param rollout an active rollout.
+/// @return the sum of this node's and all peers' evidence, by class.
+class_evidence poolEvidence(const active_rollout& rollout);
 
 } // namespace Rollout
--- a/Source/Core/Rollout/RolloutDuty.h
+++ b/Source/Core/Rollout/RolloutDuty.h
@@ -10,7 +10,7 @@
 
 namespace Rollout {
 
-/// Where the duty's actions go. None of them blocks.
+/// Receivers of the duty's actions. None of the functions may block.
 struct rollout_outlets {
     std::function<void(const publish_shares&)> publishShares;
     std::function<void(const tell_evidence&)> tellEvidence;
@@ -22,10 +22,10 @@
 public:
     explicit rollout_duty(rollout_outlets outlets);
 
-    /// Hands a message over; may be called from any thread.
-    /// @return whether the ring took it.
+    /// Queues a message; may be called from any thread.
+    /// @return false when the inbox is full; the message is then left untouched.
     bool submit(rollout_message&& message);
-    /// Serves until stop().
+    /// Handles messages until stop(); blocks the calling thread.
     void run();
     void stop();
 
--- a/Source/Core/Rollout/Tests/RolloutTest.cpp
+++ b/Source/Core/Rollout/Tests/RolloutTest.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Rollouts: bad versions latch early, good ones take over in time, latches never open.
+/// Rollouts: bad versions are latched after a few attempts, good ones take over in time, and a latch is permanent.
 
 #include "Rollout/Rollout.h"
 
@@ -11,8 +11,8 @@
 
 using namespace Rollout;
 
-constexpr int64_t testStart = 1000000;
-constexpr int64_t testPlan = 600000;
+constexpr int64_t testStartMs = 1000000;
+constexpr int64_t testPlanMs = 600000;
 const rollout_key testKey { "model", { "v2" } };
 
 std::shared_ptr<const Configuration::configuration> makeConfiguration(Configuration::version_state state = Configuration::version_state::TakingOver)
@@ -22,28 +22,28 @@
     version.service = "model";
     version.name = { "v2" };
     version.state = state;
-    version.startedAt = { testStart };
-    version.deadline = { testStart + testPlan };
+    version.startedAt = { testStartMs };
+    version.deadline = { testStartMs + testPlanMs };
     config.versions["model/v2"] = version;
     return std::make_shared<const Configuration::configuration>(config);
 }
 
 struct rollout_run {
     rollout_state state;
-    uint64_t toNew { 0 };
+    uint64_t attemptsAtNew { 0 };
     uint64_t badAnswers { 0 };
     std::string end;
     std::string cause;
     int64_t endedAt { 0 };
 };
 
-/// How the new version behaves.
-struct behaviour {
+/// Traffic of a simulated rollout, and the rates of failed and late attempts of both versions.
+struct rollout_scenario {
     double oldFailures { 0.005 };
     double newFailures { 0.005 };
     double oldLate { 0.03 };
     double newLate { 0.03 };
-    double badFrom { 0 }; ///< Share of the plan from which the new rates hold.
+    double badFrom { 0 }; ///< Share of the planned time after which the new version has the new rates.
     int attemptsPerSecond { 20 };
 };
 
@@ -59,13 +59,13 @@
     }
 }
 
-void attempt(rollout_run& run, const behaviour& acting, Common::random_source& random, int64_t now)
+void simulateAttempt(rollout_run& run, const rollout_scenario& scenario, Common::random_source& random, int64_t now)
 {
     const uint32_t share = run.state.published["model"][{ "v2" }];
     const bool isNew = Common::uniformBelow(random, 1000) < share;
-    const bool isTurned = now - testStart >= static_cast<int64_t>(acting.badFrom * testPlan);
-    const double failures = isNew && isTurned ? acting.newFailures : acting.oldFailures;
-    const double late = isNew && isTurned ? acting.newLate : acting.oldLate;
+    const bool usesNewRates = now - testStartMs >= static_cast<int64_t>(scenario.badFrom * testPlanMs);
+    const double failures = isNew && usesNewRates ? scenario.newFailures : scenario.oldFailures;
+    const double late = isNew && usesNewRates ? scenario.newLate : scenario.oldLate;
     const Common::version_name version { isNew ? "v2" : "v1" };
     apply(run, stepRollout(run.state, attempt_observed { "model", version, { "summary" }, attempt_event::Begun }, { now }), now);
     attempt_event event = attempt_event::Good;
@@ -73,19 +73,19 @@
         event = attempt_event::Failed;
     else if (Common::uniformUnit(random) < late)
         event = attempt_event::Late;
-    run.toNew += isNew ? 1 : 0;
+    run.attemptsAtNew += isNew ? 1 : 0;
     run.badAnswers += isNew && event != attempt_event::Good ? 1 : 0;
     apply(run, stepRollout(run.state, attempt_observed { "model", version, { "summary" }, event }, { now }), now);
 }
 
-rollout_run play(const behaviour& acting, uint64_t seed)
+rollout_run simulate(const rollout_scenario& scenario, uint64_t seed)
 {
     rollout_run run;
     Common::random_source random(seed);
-    stepRollout(run.state, configuration_seen { makeConfiguration() }, { testStart });
-    for (int64_t now = testStart; now < testStart + testPlan && run.end.empty(); now += 1000) {
-        for (int count = 0; count < acting.attemptsPerSecond; ++count)
-            attempt(run, acting, random, now);
+    stepRollout(run.state, configuration_seen { makeConfiguration() }, { testStartMs });
+    for (int64_t now = testStartMs; now < testStartMs + testPlanMs && run.end.empty(); now += 1000) {
+        for (int count = 0; count < scenario.attemptsPerSecond; ++count)
+            simulateAttempt(run, scenario, random, now);
         apply(run, stepRollout(run.state, rollout_tick {}, { now }), now);
     }
     return run;
@@ -95,10 +95,10 @@
 
 TEST_GROUP(Rollout) {};
 
-TEST(Rollout, GoodOnesTakeOverAndBadOnesAreTakenBack)
+TEST(Rollout, GoodVersionsTakeOverAndBadVersionsAreTakenBack)
 {
     struct row {
-        behaviour acting;
+        rollout_scenario scenario;
         const char* end;
     };
     const row rows[] = {
@@ -115,71 +115,71 @@
     constexpr uint64_t seeds = 20;
     for (const row& item : rows) {
         for (uint64_t seed = 1; seed <= seeds; ++seed) {
-            const rollout_run run = play(item.acting, seed);
+            const rollout_run run = simulate(item.scenario, seed);
             STRCMP_EQUAL_TEXT(item.end, run.end.c_str(), run.cause.c_str());
-            CHECK(run.endedAt < testStart + testPlan);
+            CHECK(run.endedAt < testStartMs + testPlanMs);
         }
     }
 }
 
-TEST(Rollout, ABadVersionIsStoppedAfterAFewAnswers)
+TEST(Rollout, AFailingVersionIsStoppedAfterAFewBadAnswers)
 {
     constexpr uint64_t seeds = 20;
-    constexpr uint64_t mostBadAnswers = 20;
+    constexpr uint64_t maxBadAnswers = 20;
     for (uint64_t seed = 1; seed <= seeds; ++seed)
-        CHECK(play({ .newFailures = 1.0 }, seed).badAnswers <= mostBadAnswers);
+        CHECK(simulate({ .newFailures = 1.0 }, seed).badAnswers <= maxBadAnswers);
 }
 
-TEST(Rollout, ALatchNeverOpensAndIsToldToAll)
+TEST(Rollout, ALatchIsPermanentAndBroadcast)
 {
     rollout_state state;
-    stepRollout(state, configuration_seen { makeConfiguration() }, { testStart });
-    const auto actions = stepRollout(state, peer_latch { testKey, "failing" }, { testStart });
+    stepRollout(state, configuration_seen { makeConfiguration() }, { testStartMs });
+    const auto actions = stepRollout(state, peer_latch { testKey, "failing" }, { testStartMs });
     LONGS_EQUAL(2, actions.size());
     LONGS_EQUAL(0, state.published["model"][testKey.version]);
-    LONGS_EQUAL(0, stepRollout(state, peer_latch { testKey, "failing" }, { testStart }).size());
-    // Neither time nor good evidence nor the same configuration again raises the share.
-    stepRollout(state, configuration_seen { makeConfiguration() }, { testStart });
-    for (int64_t now = testStart; now < testStart + testPlan; now += 1000)
+    LONGS_EQUAL(0, stepRollout(state, peer_latch { testKey, "failing" }, { testStartMs }).size());
+    // Neither the same configuration again nor the passing of time raises the share.
+    stepRollout(state, configuration_seen { makeConfiguration() }, { testStartMs });
+    for (int64_t now = testStartMs; now < testStartMs + testPlanMs; now += 1000)
         stepRollout(state, rollout_tick {}, { now });
     LONGS_EQUAL(0, state.published["model"][testKey.version]);
 }
 
-TEST(Rollout, ALatchHeardBeforeTheConfigurationCounts)
+TEST(Rollout, ALatchReceivedBeforeTheConfigurationApplies)
 {
     rollout_state state;
-    stepRollout(state, peer_latch { testKey, "failing" }, { testStart });
-    stepRollout(state, configuration_seen { makeConfiguration() }, { testStart });
+    stepRollout(state, peer_latch { testKey, "failing" }, { testStartMs });
+    stepRollout(state, configuration_seen { makeConfiguration() }, { testStartMs });
     LONGS_EQUAL(0, state.published["model"][testKey.version]);
 }
 
-TEST(Rollout, ATakenBackVersionGetsNothing)
+TEST(Rollout, ATakenBackVersionGetsNoTraffic)
 {
     rollout_state state;
-    stepRollout(state, configuration_seen { makeConfiguration() }, { testStart });
-    const auto actions = stepRollout(state, configuration_seen { makeConfiguration(Configuration::version_state::TakenBack) }, { testStart });
+    stepRollout(state, configuration_seen { makeConfiguration() }, { testStartMs });
+    const auto actions = stepRollout(state, configuration_seen { makeConfiguration(Configuration::version_state::TakenBack) }, { testStartMs });
     CHECK(!actions.empty());
     LONGS_EQUAL(0, state.published["model"][testKey.version]);
     LONGS_EQUAL(0, state.active.size());
 }
 
-TEST(Rollout, BadnessOnOneClassAloneIsFound)
+TEST(Rollout, FailuresInOneClassAreDetected)
 {
     rollout_state state;
-    stepRollout(state, configuration_seen { makeConfiguration() }, { testStart });
+    stepRollout(state, configuration_seen { makeConfiguration() }, { testStartMs });
     class_evidence counts;
     counts[{ "good" }] = { { 500, 500, 1, 5 }, { 5000, 5000, 10, 50 } };
     counts[{ "bad" }] = { { 20, 20, 12, 0 }, { 200, 200, 1, 2 } };
-    stepRollout(state, peer_evidence { { "b" }, testKey, counts }, { testStart });
+    stepRollout(state, peer_evidence { { "b" }, testKey, counts }, { testStartMs });
     CHECK(state.latched.contains(testKey));
 }
 
 TEST(Rollout, TooManyUnansweredAttemptsStopTheTraffic)
 {
     rollout_state state;
-    stepRollout(state, configuration_seen { makeConfiguration() }, { testStart });
-    stepRollout(state, nodes_counted { 7 }, { testStart });
+    stepRollout(state, configuration_seen { makeConfiguration() }, { testStartMs });
+    stepRollout(state, nodes_counted { 7 }, { testStartMs });
     for (int count = 0; count < 4; ++count)
-        stepRollout(state, attempt_observed { "model", { "v2" }, { "summary" }, attempt_event::Begun }, { testStart });
+        stepRollout(state, attempt_observed { "model", { "v2" }, { "summary" }, attempt_event::Begun }, { testStartMs });
     LONGS_EQUAL(0, state.published["model"][testKey.version]);
 }
--- a/scripts/mutations.py
+++ b/scripts/mutations.py
@@ -72,7 +72,7 @@
      "        if (!wasPaused)\n            return;", "        return;",
      ["Source/Core/Membership/MembershipTests"]),
     ("judging a version", "Source/Core/Rollout/Judgement.cpp",
-     "        if (freshBad < fewestBadEvents || freshAll == 0)\n            return false;", "        return false;",
+     "        if (candidateBad < minBadEvents || candidateTotal == 0)\n            return false;", "        return false;",
      ["Source/Core/Rollout/RolloutTests"]),
 ]
 
