--- a/Source/Core/Endpoints/CloudCodec.cpp
+++ b/Source/Core/Endpoints/CloudCodec.cpp
@@ -77,7 +77,7 @@
         }
     }
 
-    Common::failure nonsense(const std::string& subject)
+    Common::failure malformedAnswer(const std::string& subject)
     {
         return { Common::failure_kind::EndpointNonsense, subject, Common::run_state::Unknown, 0 };
     }
@@ -88,7 +88,7 @@
 {
     const json parsed = json::parse(body, nullptr, false);
     if (!parsed.is_object() || !parsed.contains("instances") || !parsed["instances"].is_array())
-        return tl::unexpected(nonsense("cloud"));
+        return tl::unexpected(malformedAnswer("cloud"));
     std::vector<instance_info> instances;
     for (const json& item : parsed["instances"]) {
         if (auto info = parseInstance(item))
@@ -109,7 +109,7 @@
 {
     const json parsed = json::parse(body, nullptr, false);
     if (!parsed.is_object())
-        return tl::unexpected(nonsense(id.value));
+        return tl::unexpected(malformedAnswer(id.value));
     try {
         load_report report;
         report.id = id;
@@ -118,7 +118,7 @@
         report.isLeaving = parsed.value("leaving", false);
         return report;
     } catch (const json::exception&) {
-        return tl::unexpected(nonsense(id.value));
+        return tl::unexpected(malformedAnswer(id.value));
     }
 }
 
--- a/Source/Core/Endpoints/EndpointTable.cpp
+++ b/Source/Core/Endpoints/EndpointTable.cpp
@@ -8,7 +8,7 @@
 
     using actions = std::vector<table_action>;
 
-    /// While the fleet is small every node routes to all of it, and nodes of all regions share the polling.
+    /// In a small fleet every node routes to all endpoints, and the nodes of all regions share the polling.
     bool isSmallFleet(const endpoint_table& table)
     {
         return table.entries.size() <= subsetSize;
@@ -32,13 +32,13 @@
         return isInSubset(node.id, id, countInRegion(table, node.region));
     }
 
-    /// @return whether the mark is new.
+    /// @return false when the endpoint was already marked.
     bool markLeaving(endpoint_table& table, const Common::endpoint_id& id, Common::instant now)
     {
         return table.leaving.emplace(id, now).second;
     }
 
-    void forgetOldMarks(endpoint_table& table, Common::instant now)
+    void removeExpiredMarks(endpoint_table& table, Common::instant now)
     {
         std::erase_if(table.leaving, [&](const auto& mark) {
             return now - mark.second >= leavingRetention && !table.entries.contains(mark.first);
@@ -49,7 +49,7 @@
     {
         std::map<Common::endpoint_id, endpoint_entry> next;
         std::vector<instance_info> entryInstances;
-        std::vector<instance_info> fresh;
+        std::vector<instance_info> newInstances;
         for (instance_info& info : message.instances) {
             if (info.role == instance_role::Entry) {
                 entryInstances.push_back(std::move(info));
@@ -59,55 +59,56 @@
             const auto found = table.entries.find(info.id);
             if (found != table.entries.end())
                 entry = found->second;
-            // The list lags: it may mark an endpoint as leaving, but never takes such a mark back.
-            else if (table.isListed)
-                fresh.push_back(info);
+            // After the first reading an unknown instance is new, and the peers may not know it yet.
+            else if (table.isListRead)
+                newInstances.push_back(info);
+            // The list lags: it may mark an endpoint as leaving, but never removes the mark.
             if (info.isLeaving && markLeaving(table, info.id, now))
-                output.push_back(tell_peers_leaving { info.id });
+                output.push_back(broadcast_leaving { info.id });
             entry.info = std::move(info);
             next.emplace(entry.info.id, std::move(entry));
         }
         for (auto& [id, entry] : table.entries) {
-            if (entry.keptUntil > now)
+            if (entry.keepUntil > now)
                 next.try_emplace(id, std::move(entry));
         }
         table.entries = std::move(next);
-        table.isListed = true;
-        if (!fresh.empty())
-            output.push_back(tell_peers_instances { std::move(fresh) });
-        forgetOldMarks(table, now);
+        table.isListRead = true;
+        if (!newInstances.empty())
+            output.push_back(broadcast_instances { std::move(newInstances) });
+        removeExpiredMarks(table, now);
         output.push_back(publish_endpoints { listUsable(table, now), countSharingNodes(table) });
         output.push_back(publish_entries { std::move(entryInstances) });
     }
 
-    void handle(endpoint_table& table, own_load&& message, Common::instant now, actions& output)
+    void handle(endpoint_table& table, polled_load&& message, Common::instant now, actions& output)
     {
         if (message.report.isLeaving && markLeaving(table, message.report.id, now)) {
-            output.push_back(tell_peers_leaving { message.report.id });
+            output.push_back(broadcast_leaving { message.report.id });
             output.push_back(publish_endpoints { listUsable(table, now), countSharingNodes(table) });
         }
         for (const poller& node : table.pollers) {
             const bool isUser = node.id != table.self.id && usesEndpoint(table, node, message.report.id);
             if (isUser)
-                output.push_back(tell_peer_load { node.id, message.report });
+                output.push_back(send_load { node.id, message.report });
         }
         output.push_back(publish_load { std::move(message.report) });
     }
 
     void handle(endpoint_table& table, instances_heard&& message, Common::instant now, actions& output)
     {
-        std::vector<instance_info> fresh;
+        std::vector<instance_info> newInstances;
         for (instance_info& info : message.instances) {
             if (info.role == instance_role::Entry || table.entries.contains(info.id))
                 continue;
-            fresh.push_back(info);
+            newInstances.push_back(info);
             endpoint_entry& entry = table.entries[info.id];
             entry.info = std::move(info);
-            entry.keptUntil = now + listLagAllowance;
+            entry.keepUntil = now + listLagAllowance;
         }
-        if (fresh.empty())
+        if (newInstances.empty())
             return;
-        output.push_back(tell_peers_instances { std::move(fresh) });
+        output.push_back(broadcast_instances { std::move(newInstances) });
         output.push_back(publish_endpoints { listUsable(table, now), countSharingNodes(table) });
     }
 
@@ -133,7 +134,7 @@
         }
         if (!markLeaving(table, message.id, now))
             return;
-        output.push_back(tell_peers_leaving { message.id });
+        output.push_back(broadcast_leaving { message.id });
         output.push_back(publish_endpoints { listUsable(table, now), countSharingNodes(table) });
     }
 
@@ -178,10 +179,10 @@
 {
     auto usable = std::make_shared<std::vector<instance_info>>();
     const size_t inRegion = countInRegion(table, table.self.region);
-    const bool takesAll = isSmallFleet(table);
+    const bool usesAllEndpoints = isSmallFleet(table);
     for (const auto& [id, entry] : table.entries) {
-        const bool isOurs = takesAll || (entry.info.region == table.self.region && isInSubset(table.self.id, id, inRegion));
-        if (isOurs && !table.leaving.contains(id) && entry.unreachableUntil <= now)
+        const bool isSelected = usesAllEndpoints || (entry.info.region == table.self.region && isInSubset(table.self.id, id, inRegion));
+        if (isSelected && !table.leaving.contains(id) && entry.unreachableUntil <= now)
             usable->push_back(entry.info);
     }
     return usable;
--- a/Source/Core/Endpoints/EndpointsDuty.cpp
+++ b/Source/Core/Endpoints/EndpointsDuty.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    constexpr std::chrono::milliseconds longestWait { 100 };
+    constexpr std::chrono::milliseconds maxPollWait { 100 };
     constexpr std::chrono::milliseconds listTimeLimit { 2000 };
     constexpr std::chrono::milliseconds loadTimeLimit { 1000 };
     constexpr long statusOk = 200;
@@ -42,7 +42,7 @@
         for (table_message& message : batch)
             dispatch(std::move(message));
         pollDue(std::chrono::steady_clock::now());
-        m_client.poll(longestWait);
+        m_client.poll(maxPollWait);
     }
 }
 
@@ -54,9 +54,9 @@
 
 void endpoints_duty::pollDue(Common::instant now)
 {
-    if (now >= m_nextList && !m_isListing) {
-        // The nodes of a region take turns: what one finds new or leaving it tells the others.
-        const auto interval = stretchInterval(m_settings.listInterval, m_table.entries.size(), listPerInterval);
+    if (now >= m_nextList && !m_isListPending) {
+        // The nodes of a region read the list in turn: each one broadcasts the new and the leaving endpoints it finds.
+        const auto interval = stretchInterval(m_settings.listInterval, m_table.entries.size(), instancesPerInterval);
         m_nextList = now + interval * countListReaders(m_table);
         pollList();
     }
@@ -67,18 +67,18 @@
     flushPeerLoads();
     for (const instance_info& info : polled)
         pollLoad(info);
-    // An unreachable endpoint becomes usable again by the passing of time alone.
+    // Published at each round, because an unreachable endpoint becomes usable again without any message.
     perform(publish_endpoints { listUsable(m_table, now), countSharingNodes(m_table) });
 }
 
 void endpoints_duty::pollList()
 {
-    m_isListing = true;
+    m_isListPending = true;
     Http::outgoing_request request;
     request.url = m_settings.cloudUrl + "/v1/instances";
     request.timeLimit = listTimeLimit;
     m_client.start(std::move(request), [this](Http::transfer_answer&& answer) {
-        m_isListing = false;
+        m_isListPending = false;
         Common::countMetric("filbertreel_control_bytes_total{peer=\"cloud\"}", answer.wireBytes);
         if (!isAnswered(answer)) {
             Common::countMetric("filbertreel_cloud_list_failures_total");
@@ -92,19 +92,19 @@
 
 void endpoints_duty::pollLoad(const instance_info& info)
 {
-    if (!m_polling.insert(info.id).second)
+    if (!m_pendingPolls.insert(info.id).second)
         return;
     Http::outgoing_request request;
     request.url = "http://" + info.address + "/load";
     request.timeLimit = loadTimeLimit;
     m_client.start(std::move(request), [this, id = info.id](Http::transfer_answer&& answer) {
-        m_polling.erase(id);
+        m_pendingPolls.erase(id);
         Common::countMetric("filbertreel_control_bytes_total{peer=\"load\"}", answer.wireBytes);
         if (!isAnswered(answer))
             return;
         auto report = parseLoad(id, answer.body);
         if (report)
-            dispatch(own_load { std::move(*report) });
+            dispatch(polled_load { std::move(*report) });
     });
 }
 
@@ -126,18 +126,18 @@
     m_outlets.publishLoad(action.report);
 }
 
-void endpoints_duty::perform(const tell_peers_leaving& action)
+void endpoints_duty::perform(const broadcast_leaving& action)
 {
     Common::logEvent(Common::log_level::Info, "endpoint_leaving", { { "endpoint", action.id.value } });
     m_outlets.tellPeersLeaving(action.id);
 }
 
-void endpoints_duty::perform(const tell_peers_instances& action)
+void endpoints_duty::perform(const broadcast_instances& action)
 {
     m_outlets.tellPeersInstances(action.instances);
 }
 
-void endpoints_duty::perform(const tell_peer_load& action)
+void endpoints_duty::perform(const send_load& action)
 {
     m_loadsForPeers[action.node].push_back(action.report);
 }
--- a/Source/Core/Endpoints/Tests/EndpointTableTest.cpp
+++ b/Source/Core/Endpoints/Tests/EndpointTableTest.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// Leaving endpoints: every source alone is enough, and no lagging source takes the mark back.
+/// The table of endpoints: a report from any source marks an endpoint as leaving, and no lagging source undoes it; new
+/// instances, sharding of the polling, and decoding of the cloud's list.
 
 #include "Endpoints/EndpointTable.h"
 #include "Endpoints/CloudCodec.h"
@@ -20,7 +21,7 @@
     return info;
 }
 
-cloud_list listOf(const std::vector<instance_info>& instances)
+cloud_list makeList(const std::vector<instance_info>& instances)
 {
     return { instances };
 }
@@ -29,70 +30,70 @@
 
 TEST_GROUP(EndpointTable) {};
 
-TEST(EndpointTable, OneSourceIsEnoughAndTheLaggingListDoesNotTakeItBack)
+TEST(EndpointTable, AnySourceMarksAnEndpointLeavingAndALaggingListDoesNotUndoIt)
 {
     const std::vector<table_message> sources {
-        listOf({ makeInstance("a", true), makeInstance("b") }),
-        own_load { { { "a" }, 0, 0, true } },
+        makeList({ makeInstance("a", true), makeInstance("b") }),
+        polled_load { { { "a" }, 0, 0, true } },
         leaving_notice { { "a" }, leaving_source::Peer },
     };
     for (const table_message& source : sources) {
         endpoint_table table;
-        stepEndpoints(table, listOf({ makeInstance("a"), makeInstance("b") }), testStart);
+        stepEndpoints(table, makeList({ makeInstance("a"), makeInstance("b") }), testStart);
         stepEndpoints(table, table_message(source), testStart);
         LONGS_EQUAL(1, listUsable(table, testStart)->size());
-        stepEndpoints(table, listOf({ makeInstance("a"), makeInstance("b") }), testStart);
+        stepEndpoints(table, makeList({ makeInstance("a"), makeInstance("b") }), testStart);
         LONGS_EQUAL(1, listUsable(table, testStart)->size());
     }
 }
 
-TEST(EndpointTable, ANoticeAheadOfTheListAndAGapInTheListAreRemembered)
+TEST(EndpointTable, ALeavingMarkMayPrecedeTheListAndSurvivesAGapInIt)
 {
     endpoint_table table;
     stepEndpoints(table, leaving_notice { { "a" }, leaving_source::Peer }, testStart);
-    stepEndpoints(table, listOf({ makeInstance("a") }), testStart);
+    stepEndpoints(table, makeList({ makeInstance("a") }), testStart);
     LONGS_EQUAL(0, listUsable(table, testStart)->size());
-    stepEndpoints(table, listOf({}), testStart);
-    stepEndpoints(table, listOf({ makeInstance("a") }), testStart);
+    stepEndpoints(table, makeList({}), testStart);
+    stepEndpoints(table, makeList({ makeInstance("a") }), testStart);
     LONGS_EQUAL(0, listUsable(table, testStart)->size());
 }
 
-TEST(EndpointTable, ARefusedConnectionIsForgottenAfterAWhile)
+TEST(EndpointTable, ARefusedConnectionExcludesAnEndpointForALimitedTime)
 {
     endpoint_table table;
-    stepEndpoints(table, listOf({ makeInstance("a") }), testStart);
+    stepEndpoints(table, makeList({ makeInstance("a") }), testStart);
     stepEndpoints(table, leaving_notice { { "a" }, leaving_source::RefusedConnection }, testStart);
     LONGS_EQUAL(0, listUsable(table, testStart)->size());
     LONGS_EQUAL(1, listUsable(table, testStart + unreachablePeriod)->size());
 }
 
-TEST(EndpointTable, PeersAreToldOnce)
+TEST(EndpointTable, ALeavingNoticeIsBroadcastOnce)
 {
     endpoint_table table;
-    stepEndpoints(table, listOf({ makeInstance("a") }), testStart);
+    stepEndpoints(table, makeList({ makeInstance("a") }), testStart);
     LONGS_EQUAL(2, stepEndpoints(table, leaving_notice { { "a" }, leaving_source::Peer }, testStart).size());
     LONGS_EQUAL(0, stepEndpoints(table, leaving_notice { { "a" }, leaving_source::Peer }, testStart).size());
 }
 
-TEST(EndpointTable, ANewInstanceIsPassedOnAndSurvivesOnesOwnLaggingList)
+TEST(EndpointTable, ANewInstanceIsBroadcastAndKeptWhileTheListLags)
 {
     endpoint_table table;
-    stepEndpoints(table, listOf({ makeInstance("a") }), testStart);
+    stepEndpoints(table, makeList({ makeInstance("a") }), testStart);
     const auto first = stepEndpoints(table, instances_heard { { makeInstance("b") } }, testStart);
-    CHECK(std::holds_alternative<tell_peers_instances>(first.front()));
+    CHECK(std::holds_alternative<broadcast_instances>(first.front()));
     LONGS_EQUAL(0, stepEndpoints(table, instances_heard { { makeInstance("b") } }, testStart).size());
-    stepEndpoints(table, listOf({ makeInstance("a") }), testStart);
+    stepEndpoints(table, makeList({ makeInstance("a") }), testStart);
     LONGS_EQUAL(2, listUsable(table, testStart)->size());
-    stepEndpoints(table, listOf({ makeInstance("a") }), testStart + listLagAllowance);
+    stepEndpoints(table, makeList({ makeInstance("a") }), testStart + listLagAllowance);
     LONGS_EQUAL(1, listUsable(table, testStart + listLagAllowance)->size());
 }
 
-TEST(EndpointTable, EachEndpointIsPolledByOneNodeAndUsedByAShare)
+TEST(EndpointTable, EachEndpointIsPolledByOneNodeAndUsedByASubset)
 {
     struct row {
         size_t endpoints;
-        size_t leastUsed;
-        size_t mostUsed;
+        size_t minUsed;
+        size_t maxUsed;
     };
     const row rows[] = { { 15, 15, 15 }, { 200, 200, 200 }, { 1500, 140, 260 } };
     for (const row& item : rows) {
@@ -106,17 +107,17 @@
         for (const poller& node : pollers) {
             endpoint_table table;
             table.self = node;
-            stepEndpoints(table, listOf(instances), testStart);
+            stepEndpoints(table, makeList(instances), testStart);
             stepEndpoints(table, pollers_known { pollers }, testStart);
             polled += listPolledHere(table).size();
             const size_t used = listUsable(table, testStart)->size();
-            CHECK(used >= item.leastUsed && used <= item.mostUsed);
+            CHECK(used >= item.minUsed && used <= item.maxUsed);
         }
         LONGS_EQUAL(item.endpoints, polled);
     }
 }
 
-TEST(EndpointTable, IntervalsStretchWithTheFleet)
+TEST(EndpointTable, IntervalsGrowWithTheFleet)
 {
     struct row {
         size_t count;
@@ -127,20 +128,20 @@
         LONGS_EQUAL(item.expected, stretchInterval(std::chrono::milliseconds(500), item.count, pollsPerInterval).count());
 }
 
-TEST(EndpointTable, APollerTellsTheNodesThatUseTheEndpoint)
+TEST(EndpointTable, APollerSendsTheLoadToTheNodesThatUseTheEndpoint)
 {
     endpoint_table table;
     table.self = { { "n0" }, {} };
-    stepEndpoints(table, listOf({ makeInstance("a") }), testStart);
+    stepEndpoints(table, makeList({ makeInstance("a") }), testStart);
     stepEndpoints(table, pollers_known { { { { "n0" }, {} }, { { "n1" }, {} }, { { "n2" }, {} } } }, testStart);
-    LONGS_EQUAL(3, stepEndpoints(table, own_load { { { "a" }, 1, 0, false } }, testStart).size());
+    LONGS_EQUAL(3, stepEndpoints(table, polled_load { { { "a" }, 1, 0, false } }, testStart).size());
 }
 
-TEST(EndpointTable, NonsenseFromTheCloudIsAnError)
+TEST(EndpointTable, AMalformedListIsAnErrorAndMalformedInstancesAreSkipped)
 {
     struct row {
         const char* body;
-        bool isRead;
+        bool isParsed;
         size_t instances;
     };
     const row rows[] = {
@@ -151,7 +152,7 @@
     };
     for (const row& item : rows) {
         const auto parsed = parseInstances(item.body);
-        CHECK_EQUAL(item.isRead, parsed.has_value());
+        CHECK_EQUAL(item.isParsed, parsed.has_value());
         if (parsed)
             LONGS_EQUAL(item.instances, parsed->size());
     }
