--- a/Source/Core/Store/Rows.h
+++ b/Source/Core/Store/Rows.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Rows of the platform's metadata store, and the calls on them.
+/// Rows of the platform's metadata store, and the queries and transactions on them.
 
 #include "Common/Ids.h"
 
@@ -10,15 +10,15 @@
 
 namespace Store {
 
-/// Position in the store's single order of transactions.
+/// Position of a transaction in the store's total order of transactions.
 using row_version = Common::strong_type<struct row_version_tag, uint64_t>;
-/// The store's own steady clock, in milliseconds.
+/// Time of the store's own monotonic clock, in milliseconds.
 using store_time = Common::strong_type<struct store_time_tag, int64_t>;
 
 struct row_name {
     std::string table;
-    std::string part;
-    std::string key;
+    std::string part; ///< Partition of the table; empty in tables without partitions.
+    std::string key; ///< Unique within its part.
 
     friend auto operator<=>(const row_name&, const row_name&) = default;
 };
@@ -26,11 +26,11 @@
 struct row {
     row_name name;
     std::string value;
-    row_version version;
-    bool isRemoved { false }; ///< Only in changes: the row is no longer there.
+    row_version version; ///< Of the transaction that wrote the row last.
+    bool isRemoved { false }; ///< Only in answers to a change_query: the row was deleted.
 };
 
-/// A row must have this version for a transaction to apply; zero: the row must not exist.
+/// The version that a row must have for a transaction to apply; zero: the row must not exist.
 struct row_condition {
     row_name name;
     row_version version;
@@ -41,7 +41,7 @@
     std::string value;
 };
 
-/// Applied whole or not at all. All rows stand in one part.
+/// Applied atomically. All rows must be in one part.
 struct transaction {
     std::vector<row_condition> conditions;
     std::vector<row_write> writes;
@@ -50,30 +50,31 @@
 
 enum class call_outcome {
     Done,
-    ConditionFailed, ///< Nothing was done; the answer holds the rows as they are.
-    HistoryLost, ///< The changes asked for are no longer kept.
-    Refused, ///< Nothing was done: rate, outage or no right.
-    Unknown, ///< No answer: it may have been done, or may be done later.
+    ConditionFailed, ///< Nothing was applied; the answer holds the current rows.
+    HistoryLost, ///< The store no longer keeps the changes after the given version.
+    Refused, ///< Nothing was applied: rate limit, outage or missing permission.
+    Unknown, ///< No answer: it may have been applied, or may still be.
 };
 
+/// The answer to a query or a transaction.
 struct rows_answer {
     call_outcome outcome { call_outcome::Unknown };
     std::vector<row> rows;
-    bool hasMore { false };
-    row_version newest;
-    store_time now;
+    bool hasMore { false }; ///< The range has further rows after these.
+    row_version newest; ///< The store's newest version at the answer.
+    store_time now; ///< When the store answered.
 };
 
-/// A range of keys of one part of a table.
+/// Reads a range of keys of one part of a table.
 struct range {
     std::string table;
     std::string part;
     std::string from; ///< Included; empty: from the first key.
     std::string to; ///< Excluded; empty: to the last key.
-    uint32_t limit { 500 };
+    uint32_t limit { 500 }; ///< Maximum number of rows in the answer.
 };
 
-/// Waits for changes of a table after a version.
+/// Reads the changes of a table after a version. The store answers when there are some, or after longestWait.
 struct change_query {
     std::string table;
     row_version after;
--- a/Source/Core/Store/TableWatch.cpp
+++ b/Source/Core/Store/TableWatch.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-    constexpr std::chrono::milliseconds firstPause { 150 };
-    constexpr uint32_t mostDoublings = 8;
+    constexpr std::chrono::milliseconds initialRetryDelay { 150 };
+    constexpr uint32_t maxDoublings = 8;
 
-    void fail(table_watch& watch, Common::instant now)
+    void recordFailure(table_watch& watch, Common::instant now)
     {
-        const uint32_t doublings = std::min(watch.failures, mostDoublings);
+        const uint32_t doublings = std::min(watch.failures, maxDoublings);
         ++watch.failures;
-        watch.nextCall = now + std::min(firstPause * (1U << doublings), watch.settings.longestRetry);
-        // A page of another moment must not be joined to this one.
+        watch.nextCall = now + std::min(initialRetryDelay * (1U << doublings), watch.settings.longestRetry);
+        // Pages read after the failure belong to another version and must not be joined with earlier ones.
         watch.incoming.clear();
-        watch.readFrom.clear();
+        watch.nextKey.clear();
     }
 
     bool applyChanges(table_watch& watch, const rows_answer& answer)
@@ -47,16 +47,16 @@
         for (const row& item : answer.rows)
             watch.incoming[item.name.key] = item;
         if (answer.hasMore && !answer.rows.empty()) {
-            // The first key behind the last one read.
-            watch.readFrom = answer.rows.back().name.key + '\x01';
+            // Sorts directly after the last key read.
+            watch.nextKey = answer.rows.back().name.key + '\x01';
             return false;
         }
-        const bool hasChanged = !watch.isWhole || !sameRows(watch.rows, watch.incoming);
+        const bool hasChanged = !watch.isComplete || !sameRows(watch.rows, watch.incoming);
         watch.rows = std::move(watch.incoming);
         watch.incoming.clear();
-        watch.readFrom.clear();
+        watch.nextKey.clear();
         watch.newest = answer.newest;
-        watch.isWhole = true;
+        watch.isComplete = true;
         return hasChanged;
     }
 
@@ -64,13 +64,13 @@
 
 std::optional<watch_query> nextQuery(table_watch& watch, Common::instant now)
 {
-    if (watch.isCalling || (now < watch.nextCall && !(watch.wantsRefresh && !watch.isLost)))
+    if (watch.isCallPending || (now < watch.nextCall && !(watch.wantsRefresh && !watch.isFailing)))
         return {};
-    watch.isCalling = true;
-    if (!watch.isWhole || watch.wantsRefresh) {
+    watch.isCallPending = true;
+    if (!watch.isComplete || watch.wantsRefresh) {
         watch.wantsRefresh = false;
-        watch.isWhole = false;
-        return range { watch.settings.table, "", watch.readFrom, "", 500 };
+        watch.isComplete = false;
+        return range { watch.settings.table, "", watch.nextKey, "", 500 };
     }
     return change_query { watch.settings.table, watch.newest, watch.settings.longestWait };
 }
@@ -78,28 +78,28 @@
 watch_event takeAnswer(table_watch& watch, const rows_answer& answer, Common::instant now)
 {
     watch_event event;
-    watch.isCalling = false;
+    watch.isCallPending = false;
     if (answer.outcome == call_outcome::HistoryLost) {
-        watch.isWhole = false;
+        watch.isComplete = false;
         watch.nextCall = now;
         return event;
     }
     if (answer.outcome != call_outcome::Done) {
-        event.hasFailed = !watch.isLost;
-        watch.isLost = true;
-        fail(watch, now);
+        event.hasFailed = !watch.isFailing;
+        watch.isFailing = true;
+        recordFailure(watch, now);
         return event;
     }
-    event.hasReturned = watch.isLost;
-    // Changes may have been lost with the connection or the history: the rows are read whole again.
-    const bool mustReread = watch.isLost && watch.isWhole;
-    watch.isLost = false;
+    event.hasReturned = watch.isFailing;
+    // Changes may have been missed during the failure, so all rows are read again.
+    const bool needsFullRead = watch.isFailing && watch.isComplete;
+    watch.isFailing = false;
     watch.failures = 0;
     watch.nextCall = now;
-    watch.heardAt = now;
-    event.hasChanged = watch.isWhole ? applyChanges(watch, answer) : applyPage(watch, answer);
-    watch.wantsRefresh = watch.wantsRefresh || mustReread;
-    if (event.hasChanged && watch.isWhole)
+    watch.confirmedAt = now;
+    event.hasChanged = watch.isComplete ? applyChanges(watch, answer) : applyPage(watch, answer);
+    watch.wantsRefresh = watch.wantsRefresh || needsFullRead;
+    if (event.hasChanged && watch.isComplete)
         watch.nextCall = now + watch.settings.pause;
     return event;
 }
--- a/Source/Core/Store/TableWatch.h
+++ b/Source/Core/Store/TableWatch.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Follows a table of the platform's store: reads it whole, then waits for changes; reads it whole again when the
-/// history of changes is lost. Pure: no clock, no socket.
+/// Keeps a copy of a table of the platform's store: reads all rows, then queries the changes; reads all rows again when
+/// the history of changes is lost and after an outage. No clock, no socket.
 
 #include "Store/Rows.h"
 
@@ -12,43 +12,46 @@
 
 namespace Store {
 
-/// How a watch follows its table.
 struct watch_settings {
     std::string table;
-    std::chrono::milliseconds longestWait { 1500 }; ///< A feed that fell silent is noticed after it.
-    std::chrono::milliseconds longestRetry { 600 }; ///< Between two tries while the store doesn't answer.
-    std::chrono::milliseconds pause { 0 }; ///< After changes, so that those of a busy moment come in one answer.
+    std::chrono::milliseconds longestWait { 1500 }; ///< Of a change_query; a feed that stops is noticed after it.
+    std::chrono::milliseconds longestRetry { 600 }; ///< Upper bound of the delay between retries.
+    std::chrono::milliseconds pause { 0 }; ///< After changes, so that further ones arrive in one answer.
 };
 
 struct table_watch {
     watch_settings settings;
     std::map<std::string, row> rows; ///< By key; the table's rows have no part.
-    std::map<std::string, row> incoming; ///< Of a whole reading under way.
-    std::string readFrom; ///< Where the whole reading goes on.
-    row_version newest;
-    bool isWhole { false }; ///< The rows are those of one moment, plus all changes since.
-    bool isCalling { false };
-    bool isLost { false }; ///< The last call failed.
-    bool wantsRefresh { false }; ///< Someone knows of a newer state: read at once.
-    uint32_t failures { 0 };
-    Common::instant nextCall;
-    Common::instant heardAt; ///< When the store last confirmed the rows.
+    std::map<std::string, row> incoming; ///< Rows of a full read in progress, by key.
+    std::string nextKey; ///< Lower bound of the keys of the full read's next page.
+    row_version newest; ///< Version up to which the rows are current.
+    bool isComplete { false }; ///< No full read is due or in progress; the rows include all changes up to newest.
+    bool isCallPending { false };
+    bool isFailing { false }; ///< The last call failed.
+    bool wantsRefresh { false }; ///< Set when a newer state is known to exist: requests a full read at once.
+    uint32_t failures { 0 }; ///< Failed calls in a row.
+    Common::instant nextCall; ///< Earliest time of the next call.
+    Common::instant confirmedAt; ///< Time of the last successful answer.
 };
 
 using watch_query = std::variant<range, change_query>;
 
-/// @param watch the watch; a query that is returned counts as under way.
-/// @return what to ask the store now, if anything.
+/// @param watch the watch; marked as having a call pending when a query is returned.
+/// @param now current time.
+/// @return the query to send to the store now; empty when none is due or one is pending.
 std::optional<watch_query> nextQuery(table_watch& watch, Common::instant now);
 
-/// What an answer meant.
+/// Effects of an answer on the watch.
 struct watch_event {
-    bool hasChanged { false };
+    bool hasChanged { false }; ///< Changes were applied, or a full read is finished.
     bool hasReturned { false }; ///< The store answers again after a failure.
-    bool hasFailed { false }; ///< The store stopped answering.
+    bool hasFailed { false }; ///< The first failure after a successful call.
 };
 
-/// Takes the answer to the query under way.
+/// Applies the answer to the pending query.
+/// @param watch changed in place.
+/// @param answer the store's answer; its outcome Unknown when there was none.
+/// @param now current time.
 watch_event takeAnswer(table_watch& watch, const rows_answer& answer, Common::instant now);
 
 } // namespace Store
--- a/Source/Core/Store/Tests/TableWatchTest.cpp
+++ b/Source/Core/Store/Tests/TableWatchTest.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// A table that is followed through changes, lost history, outages and pages.
+/// The copy of a table: changes, lost history, outages, paged reads and retry intervals.
 
 #include "Store/TableWatch.h"
 
@@ -36,18 +36,18 @@
     return answer;
 }
 
-bool asksWhole(table_watch& watch, Common::instant now)
+bool requestsFullRead(table_watch& watch, Common::instant now)
 {
     const auto query = nextQuery(watch, now);
     CHECK(query.has_value());
     return std::holds_alternative<range>(*query);
 }
 
-table_watch makeFollowing()
+table_watch makeCompleteWatch()
 {
     table_watch watch;
     watch.settings.table = "t";
-    CHECK(asksWhole(watch, at(0)));
+    CHECK(requestsFullRead(watch, at(0)));
     takeAnswer(watch, makeAnswer({ makeRow("a", 1), makeRow("b", 2) }, 5), at(0));
     return watch;
 }
@@ -58,7 +58,7 @@
 
 TEST(TableWatch, ChangesAreAppliedInOrder)
 {
-    table_watch watch = makeFollowing();
+    table_watch watch = makeCompleteWatch();
     struct step {
         std::vector<row> rows;
         uint64_t newest;
@@ -72,45 +72,45 @@
         { {}, 9, false, 2 },
     };
     for (const step& item : steps) {
-        CHECK(!asksWhole(watch, at(1)));
+        CHECK(!requestsFullRead(watch, at(1)));
         CHECK_EQUAL(item.hasChanged, takeAnswer(watch, makeAnswer(item.rows, item.newest), at(1)).hasChanged);
         CHECK_EQUAL(item.size, watch.rows.size());
         CHECK_EQUAL(item.newest, watch.newest.value);
     }
 }
 
-TEST(TableWatch, LostHistoryIsReadWholeAgain)
+TEST(TableWatch, LostHistoryCausesAFullRead)
 {
-    table_watch watch = makeFollowing();
-    CHECK(!asksWhole(watch, at(1)));
+    table_watch watch = makeCompleteWatch();
+    CHECK(!requestsFullRead(watch, at(1)));
     takeAnswer(watch, makeFailure(call_outcome::HistoryLost), at(1));
-    CHECK(asksWhole(watch, at(1)));
+    CHECK(requestsFullRead(watch, at(1)));
     CHECK(takeAnswer(watch, makeAnswer({ makeRow("b", 8) }, 9), at(1)).hasChanged);
     CHECK_EQUAL(1, watch.rows.size());
 }
 
-TEST(TableWatch, AnOutageIsToldOnceAndEndsWithAWholeReading)
+TEST(TableWatch, AnOutageIsReportedOnceAndEndsWithAFullRead)
 {
-    table_watch watch = makeFollowing();
+    table_watch watch = makeCompleteWatch();
     int now = 1;
-    int lost = 0;
+    int failuresReported = 0;
     for (int call = 0; call < 5; ++call) {
         while (!nextQuery(watch, at(now)))
             now += 10;
-        lost += takeAnswer(watch, makeFailure(call % 2 ? call_outcome::Unknown : call_outcome::Refused), at(now)).hasFailed ? 1 : 0;
+        failuresReported += takeAnswer(watch, makeFailure(call % 2 ? call_outcome::Unknown : call_outcome::Refused), at(now)).hasFailed ? 1 : 0;
         CHECK_EQUAL(2, watch.rows.size());
     }
-    CHECK_EQUAL(1, lost);
+    CHECK_EQUAL(1, failuresReported);
     while (!nextQuery(watch, at(now)))
         now += 10;
     CHECK(takeAnswer(watch, makeAnswer({}, 5), at(now)).hasReturned);
-    CHECK(asksWhole(watch, at(now)));
+    CHECK(requestsFullRead(watch, at(now)));
 }
 
-TEST(TableWatch, PagesAreJoinedBeforeTheyCount)
+TEST(TableWatch, PagesAreJoinedBeforeTheyAreApplied)
 {
     table_watch watch;
-    CHECK(asksWhole(watch, at(0)));
+    CHECK(requestsFullRead(watch, at(0)));
     CHECK(!takeAnswer(watch, makeAnswer({ makeRow("a", 1) }, 3, true), at(0)).hasChanged);
     const auto next = nextQuery(watch, at(0));
     CHECK(std::get<range>(*next).from > "a");
@@ -118,27 +118,27 @@
     CHECK_EQUAL(2, watch.rows.size());
 }
 
-TEST(TableWatch, ARefreshIsAskedForAtOnceAndPausesAreKept)
+TEST(TableWatch, ARefreshIsRequestedAtOnceDespiteThePauseAfterChanges)
 {
-    table_watch watch = makeFollowing();
+    table_watch watch = makeCompleteWatch();
     watch.settings.pause = std::chrono::milliseconds(500);
-    CHECK(!asksWhole(watch, at(1)));
+    CHECK(!requestsFullRead(watch, at(1)));
     takeAnswer(watch, makeAnswer({ makeRow("c", 6) }, 6), at(1));
     CHECK(!nextQuery(watch, at(400)).has_value());
     watch.wantsRefresh = true;
-    CHECK(asksWhole(watch, at(400)));
+    CHECK(requestsFullRead(watch, at(400)));
 }
 
-TEST(TableWatch, AStoreThatIsAwayIsAskedAtTheLongestRetry)
+TEST(TableWatch, AnUnavailableStoreIsRetriedAtTheLongestRetryInterval)
 {
     struct row {
         int longestRetryMs;
-        int mostCalls; ///< In ten seconds of refusals, the first tries included.
-        int fewestCalls;
+        int maxCalls; ///< Within ten seconds of refusals, the first retries included.
+        int minCalls;
     };
     const row rows[] = { { 600, 20, 15 }, { 2400, 9, 5 } };
     for (const row& item : rows) {
-        table_watch watch = makeFollowing();
+        table_watch watch = makeCompleteWatch();
         watch.settings.longestRetry = std::chrono::milliseconds(item.longestRetryMs);
         int calls = 0;
         for (int now = 0; now < 10000; now += 10) {
@@ -147,7 +147,7 @@
             ++calls;
             takeAnswer(watch, makeFailure(call_outcome::Refused), at(now));
         }
-        CHECK(calls <= item.mostCalls);
-        CHECK(calls >= item.fewestCalls);
+        CHECK(calls <= item.maxCalls);
+        CHECK(calls >= item.minCalls);
     }
 }
