--- a/Source/Core/Quota/Quota.cpp
+++ b/Source/Core/Quota/Quota.cpp
@@ -8,11 +8,12 @@
 
     constexpr milliseconds shortestRetryAfter { 250 };
     constexpr milliseconds longestRetryAfter { 5000 };
+    /// Weight of the latest report interval in the moving average of demand.
     constexpr double demandWeight = 0.4;
-    /// Above this share of its burst an account is not near its limit, and nodes need not share what is left.
-    constexpr double easyShareOfBurst = 0.6;
-    /// The part of an equal share that a node may use however little it was asked for lately.
-    constexpr double leastShareOfEqual = 0.5;
+    /// At or above this share of its burst an account is far from its limit, and a node may grant from the whole level.
+    constexpr double ampleShareOfBurst = 0.6;
+    /// A node may grant at least this part of an equal share (1 / number of nodes), even if its recent demand is lower.
+    constexpr double minShareOfEqual = 0.5;
 
     double toSeconds(Common::duration time)
     {
@@ -24,52 +25,52 @@
         return static_cast<double>(state.peers.size() + 1);
     }
 
-    size_t silentPeers(const ledger& state, Common::instant now)
+    size_t countSilentPeers(const ledger& state, Common::instant now)
     {
         size_t silent = 0;
         for (const auto& [id, peer] : state.peers) {
-            if (now - peer.heardAt > state.silence)
+            if (now - peer.lastReportAt > state.silence)
                 ++silent;
         }
         return silent;
     }
 
-    /// Refills by the rate, less what silent peers may be granting: each may use its equal share.
+    /// Refills by the rate, less an equal share for each silent peer: it may still grant that much.
     void refill(const ledger& state, account_bucket& bucket, Common::instant now)
     {
         const double seconds = std::max(0.0, toSeconds(now - bucket.refilledAt));
         bucket.refilledAt = now;
-        const double silentShare = static_cast<double>(silentPeers(state, now)) / nodeCount(state);
+        const double silentShare = static_cast<double>(countSilentPeers(state, now)) / nodeCount(state);
         const double gain = bucket.allowed.perSecond * seconds * (1 - silentShare);
         bucket.level = std::min(bucket.allowed.burst, bucket.level + gain);
     }
 
-    /// @return this node's part of what is left, by demand.
+    /// @return the part of the level that this node may grant, 0 to 1, in proportion to its share of the demand.
     double ownShare(const ledger& state, const account_bucket& bucket)
     {
-        double others = 0;
+        double othersDemand = 0;
         for (const auto& [id, peer] : bucket.peers)
-            others += peer.demandPerSecond;
-        const double own = std::max(bucket.demandPerSecond, bucket.askedSinceReport);
-        const double equal = 1 / nodeCount(state);
-        if (own + others <= 0)
-            return equal;
-        return std::max(leastShareOfEqual * equal, own / (own + others));
+            othersDemand += peer.demandPerSecond;
+        const double ownDemand = std::max(bucket.demandPerSecond, bucket.askedSinceReport);
+        const double equalShare = 1 / nodeCount(state);
+        if (ownDemand + othersDemand <= 0)
+            return equalShare;
+        return std::max(minShareOfEqual * equalShare, ownDemand / (ownDemand + othersDemand));
     }
 
-    bool isWithin(const ledger& state, const account_bucket& bucket, double amount)
+    bool isWithinAllowance(const ledger& state, const account_bucket& bucket, double amount)
     {
         if (bucket.level <= 0)
             return false;
-        if (bucket.level >= easyShareOfBurst * bucket.allowed.burst && bucket.level >= amount)
+        if (bucket.level >= ampleShareOfBurst * bucket.allowed.burst && bucket.level >= amount)
             return true;
-        // One request in each interval may overdraw: the debt is paid before the next one.
-        if (bucket.sinceExchange <= 0)
+        // The first request after a report may overdraw the bucket. The next grant needs a level above zero again.
+        if (bucket.grantedSinceReport <= 0)
             return true;
-        return bucket.sinceExchange + amount <= bucket.level * ownShare(state, bucket);
+        return bucket.grantedSinceReport + amount <= bucket.level * ownShare(state, bucket);
     }
 
-    milliseconds whenRefilled(const account_bucket& bucket, double amount)
+    milliseconds refillDelay(const account_bucket& bucket, double amount)
     {
         const double missing = std::max(0.0, std::min(amount, bucket.allowed.burst) - bucket.level);
         const auto wait = milliseconds(static_cast<int64_t>(1000 * missing / bucket.allowed.perSecond));
@@ -114,11 +115,11 @@
     account_bucket& bucket = found->second;
     refill(state, bucket, now);
     bucket.askedSinceReport += amount;
-    if (!isWithin(state, bucket, amount))
-        return { false, whenRefilled(bucket, amount), bucket.level, ownShare(state, bucket) };
+    if (!isWithinAllowance(state, bucket, amount))
+        return { false, refillDelay(bucket, amount), bucket.level, ownShare(state, bucket) };
     bucket.level -= amount;
     bucket.granted += amount;
-    bucket.sinceExchange += amount;
+    bucket.grantedSinceReport += amount;
     return {};
 }
 
@@ -130,7 +131,7 @@
     account_bucket& bucket = found->second;
     bucket.level = std::min(bucket.allowed.burst, bucket.level + amount);
     bucket.granted -= amount;
-    bucket.sinceExchange = std::max(0.0, bucket.sinceExchange - amount);
+    bucket.grantedSinceReport = std::max(0.0, bucket.grantedSinceReport - amount);
 }
 
 node_report makeReport(ledger& state, Common::instant now)
@@ -142,7 +143,7 @@
         const double demand = bucket.askedSinceReport / seconds;
         bucket.demandPerSecond += (demand - bucket.demandPerSecond) * demandWeight;
         bucket.askedSinceReport = 0;
-        bucket.sinceExchange = 0;
+        bucket.grantedSinceReport = 0;
         report.accounts.push_back({ id, bucket.granted, bucket.demandPerSecond });
     }
     return report;
@@ -155,8 +156,8 @@
         return;
     const bool isFirst = peer->second.incarnation.value == 0;
     const bool isRestarted = !isFirst && peer->second.incarnation != report.incarnation;
-    // While it was silent, its equal share was charged already.
-    const bool wasSilent = now - peer->second.heardAt > state.silence;
+    // While the peer was silent, refill() already deducted an equal share for it.
+    const bool wasSilent = now - peer->second.lastReportAt > state.silence;
     peer->second = { report.incarnation, now };
     for (const granted_total& item : report.accounts) {
         const auto found = state.accounts.find(item.account);
@@ -164,11 +165,11 @@
             continue;
         account_bucket& bucket = found->second;
         refill(state, bucket, now);
-        peer_grants& known = bucket.peers[report.node];
-        const double before = isRestarted ? 0 : known.total;
+        peer_grants& grants = bucket.peers[report.node];
+        const double previousTotal = isRestarted ? 0 : grants.total;
         if (!isFirst && !wasSilent)
-            bucket.level -= item.total - before;
-        known = { item.total, item.demandPerSecond };
+            bucket.level -= item.total - previousTotal;
+        grants = { item.total, item.demandPerSecond };
     }
 }
 
--- a/Source/Core/Quota/Quota.h
+++ b/Source/Core/Quota/Quota.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// What client accounts may take over all nodes together. Each node keeps its own estimate of one shared bucket per
-/// account, from its own grants and from what the others report. Pure: no clock, no socket.
+/// Rate limits of client accounts across all nodes. Each node keeps its own estimate of one token bucket per account,
+/// which all nodes share, from its own grants and the reports of the other nodes. Reads no clock and opens no socket.
 
 #include "Catalog/Catalog.h"
 #include "Common/Ids.h"
@@ -15,79 +15,86 @@
 
 using std::chrono::milliseconds;
 
-/// What one node has granted to one account since it started, in the unit of the allowance.
+/// The amount that one node has granted to one account since the node's start, in the unit of the account's allowance.
 struct granted_total {
     Common::account_id account;
     double total { 0 };
-    double demandPerSecond { 0 }; ///< Asked for lately, granted or not.
+    double demandPerSecond { 0 }; ///< Moving average of the requested amount, granted or not.
 };
 
-/// What a node tells the others at short intervals.
+/// A node's grants to all accounts, sent to the other nodes at short intervals.
 struct node_report {
     Common::node_id node;
     Common::incarnation_number incarnation;
     std::vector<granted_total> accounts;
 };
 
-/// What a peer has told of one account.
+/// One account's figures in the last report of a peer.
 struct peer_grants {
     double total { 0 };
     double demandPerSecond { 0 };
 };
 
+/// This node's estimate of the token bucket of one account.
 struct account_bucket {
     Catalog::allowance allowed;
-    double level { 0 }; ///< Below zero after grants that the nodes made at the same time.
+    double level { 0 }; ///< Negative after several nodes granted concurrently, or after an overdraft.
     Common::instant refilledAt;
-    double granted { 0 }; ///< By this node since its start.
-    double sinceExchange { 0 }; ///< Granted by this node since it last heard of the others.
+    double granted { 0 }; ///< By this node since its start, less refunds.
+    double grantedSinceReport { 0 }; ///< By this node since its last report.
     double demandPerSecond { 0 };
-    double askedSinceReport { 0 };
+    double askedSinceReport { 0 }; ///< Requested from this node since its last report, granted or not.
     std::map<Common::node_id, peer_grants> peers;
 };
 
 struct peer_state {
-    Common::incarnation_number incarnation;
-    Common::instant heardAt;
+    Common::incarnation_number incarnation; ///< Zero before the first report.
+    Common::instant lastReportAt; ///< Before the first report: when the peer was added.
 };
 
+/// The buckets of all accounts as this node estimates them, and the peers that share them.
 struct ledger {
     std::map<Common::account_id, account_bucket> accounts;
-    std::map<Common::node_id, peer_state> peers; ///< Nodes that may be granting now.
-    Common::instant reportedAt;
-    /// A peer silent for longer is charged with its equal share until it is heard again or leaves the set of nodes.
+    std::map<Common::node_id, peer_state> peers; ///< The other nodes that may currently grant.
+    Common::instant reportedAt; ///< Time of this node's last report.
+    /// A peer without a report for longer is assumed to grant its equal share (1 / number of nodes), until its next
+    /// report or until setPeers() drops it.
     milliseconds silence { 900 };
-    bool startsEmpty { false }; ///< The allowances may have been used up before this process started.
+    bool startsEmpty { false }; ///< New buckets start at zero, as the burst may have been used up before a restart.
 };
 
-/// Puts the allowances of a catalog in force.
+/// Applies the allowances of a catalog and removes the buckets of accounts that it doesn't list.
 void setAllowances(ledger& state, const Catalog::catalog& item, Common::instant now);
-/// Sets which other nodes may be granting.
+/// Sets the other nodes that may currently grant.
 void setPeers(ledger& state, const std::set<Common::node_id>& peers, Common::instant now);
 
 struct grant {
     bool isGranted { true };
-    milliseconds retryAfter { 0 }; ///< When the account may ask again, if it was not granted.
-    double level { 0 }; ///< Left of the shared bucket, as this node knows it.
-    double share { 1 }; ///< This node's part of it.
+    milliseconds retryAfter { 0 }; ///< Earliest retry of a refused request.
+    double level { 0 }; ///< Level of the shared bucket in this node's estimate; set for a refusal only.
+    double share { 1 }; ///< The part of the level that this node may grant; set for a refusal only.
 };
 
+/// Deducts a request from its account's bucket if the allowance permits it.
 /// @param state the buckets; a grant is recorded.
-/// @param account who asks.
+/// @param account the requesting account; one without a bucket or without a limit is always granted.
 /// @param amount in the unit of the account's allowance.
-/// @param now the present time.
-/// @return whether the request lies within the allowance.
+/// @param now the current time.
+/// @return whether the request was granted, and when to retry it if not.
 grant take(ledger& state, const Common::account_id& account, double amount, Common::instant now);
 
-/// A granted request was proven not to have run.
+/// Refunds a grant whose request is proven not to have run.
+/// @param amount in the unit of the account's allowance.
 void giveBack(ledger& state, const Common::account_id& account, double amount);
 
-/// @param state the buckets; the interval of demand starts anew.
-/// @param now the present time.
-/// @return what the other nodes need to know.
+/// Makes the periodic report to the other nodes and updates the demand averages.
+/// @param state the buckets; a new report interval starts.
+/// @param now the current time.
+/// @return the grants and demand of all accounts; the caller sets node and incarnation.
 node_report makeReport(ledger& state, Common::instant now);
 
-/// Takes another node's report in.
+/// Deducts what another node has granted since its previous report. A report of a node that setPeers() didn't name is
+/// ignored.
 void hearReport(ledger& state, const node_report& report, Common::instant now);
 
 } // namespace Quota
--- a/Source/Core/Quota/Tests/QuotaTest.cpp
+++ b/Source/Core/Quota/Tests/QuotaTest.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Allowances shared by nodes: what the nodes grant together under uneven and heavy demand, with joins, silence and
-/// restarts.
+/// Allowances shared by several nodes: the sum of their grants under uneven and excessive demand, and with partitioned
+/// and restarted nodes.
 
 #include "Quota/Quota.h"
 
@@ -12,8 +12,8 @@
 
 constexpr double perSecond = 100000;
 constexpr double requestTokens = 9000;
-constexpr milliseconds exchangeInterval { 250 };
-constexpr milliseconds exchangeDelay { 40 };
+constexpr milliseconds reportInterval { 250 };
+constexpr milliseconds reportDelay { 40 };
 
 Common::instant at(milliseconds time)
 {
@@ -22,40 +22,40 @@
 
 Catalog::catalog makeCatalog(double rate)
 {
-    Catalog::catalog made;
+    Catalog::catalog catalog;
     Catalog::account item;
     item.id = { "clerks" };
     item.allowed = { rate, rate, true, 200 };
-    made.accounts.push_back(item);
-    return made;
+    catalog.accounts.push_back(item);
+    return catalog;
 }
 
 struct delayed_report {
     milliseconds due;
-    size_t to;
+    size_t recipient;
     node_report report;
 };
 
-/// Nodes that exchange reports with a delay, each asked at its own rate.
-struct played_nodes {
+/// Simulates nodes that exchange reports with a delay, each with its own request rate.
+struct simulated_nodes {
     std::vector<ledger> nodes;
     std::vector<uint64_t> incarnations;
-    std::vector<double> owed; ///< Tokens of requests that are due at each node.
-    std::vector<delayed_report> underWay;
-    std::vector<bool> isCut; ///< Its reports reach nobody, and nobody's reach it.
-    std::vector<std::pair<milliseconds, double>> granted;
+    std::vector<double> pendingTokens; ///< Tokens requested from each node but not yet passed to take().
+    std::vector<delayed_report> reportsInTransit;
+    std::vector<bool> isPartitioned; ///< The node neither sends nor receives reports.
+    std::vector<std::pair<milliseconds, double>> granted; ///< Time and tokens of each grant, by all nodes.
 
-    explicit played_nodes(size_t count)
+    explicit simulated_nodes(size_t count)
         : nodes(count)
         , incarnations(count, 1)
-        , owed(count, 0)
-        , isCut(count, false)
+        , pendingTokens(count, 0)
+        , isPartitioned(count, false)
     {
         for (size_t index = 0; index < count; ++index)
-            begin(index, milliseconds(0), false);
+            startNode(index, milliseconds(0), false);
     }
 
-    void begin(size_t index, milliseconds now, bool startsEmpty)
+    void startNode(size_t index, milliseconds now, bool startsEmpty)
     {
         nodes[index] = {};
         nodes[index].startsEmpty = startsEmpty;
@@ -69,38 +69,39 @@
         setPeers(nodes[index], others, at(now));
     }
 
-    void exchange(milliseconds now)
+    void sendReports(milliseconds now)
     {
         for (size_t index = 0; index < nodes.size(); ++index) {
             node_report report = makeReport(nodes[index], at(now));
             report.node = { std::to_string(index) };
             report.incarnation = { incarnations[index] };
             for (size_t other = 0; other < nodes.size(); ++other) {
-                if (other != index && !isCut[index] && !isCut[other])
-                    underWay.push_back({ now + exchangeDelay, other, report });
+                if (other != index && !isPartitioned[index] && !isPartitioned[other])
+                    reportsInTransit.push_back({ now + reportDelay, other, report });
             }
         }
     }
 
-    void deliver(milliseconds now)
+    void deliverReports(milliseconds now)
     {
-        for (const delayed_report& item : underWay) {
+        for (const delayed_report& item : reportsInTransit) {
             if (item.due == now)
-                hearReport(nodes[item.to], item.report, at(now));
+                hearReport(nodes[item.recipient], item.report, at(now));
         }
     }
 
-    /// Plays a span in which each node is asked for so many tokens a second.
-    void play(milliseconds from, milliseconds to, const std::vector<double>& demand)
+    /// Simulates a period.
+    /// @param demand requested tokens per second at each node.
+    void run(milliseconds from, milliseconds to, const std::vector<double>& demand)
     {
         for (milliseconds now = from; now < to; now += milliseconds(10)) {
-            if (now.count() % exchangeInterval.count() == 0)
-                exchange(now);
-            deliver(now);
+            if (now.count() % reportInterval.count() == 0)
+                sendReports(now);
+            deliverReports(now);
             for (size_t index = 0; index < nodes.size(); ++index) {
-                owed[index] += demand[index] / 100;
-                while (owed[index] >= requestTokens) {
-                    owed[index] -= requestTokens;
+                pendingTokens[index] += demand[index] / 100;
+                while (pendingTokens[index] >= requestTokens) {
+                    pendingTokens[index] -= requestTokens;
                     if (take(nodes[index], { "clerks" }, requestTokens, at(now)).isGranted)
                         granted.emplace_back(now, requestTokens);
                 }
@@ -108,16 +109,16 @@
         }
     }
 
-    double mostInWindow(milliseconds window) const
+    double maxInWindow(milliseconds window) const
     {
-        double most = 0;
+        double highest = 0;
         for (const auto& [start, first] : granted) {
             double sum = 0;
             for (const auto& [time, tokens] : granted)
                 sum += time >= start && time < start + window ? tokens : 0;
-            most = std::max(most, sum);
+            highest = std::max(highest, sum);
         }
-        return most;
+        return highest;
     }
 
     double total(milliseconds from, milliseconds to) const
@@ -129,7 +130,8 @@
     }
 };
 
-/// What the users allow in a window of eight seconds: a tenth more, and a slack.
+/// Upper bound that the users set for the tokens granted in any window of eight seconds: the allowance with its burst,
+/// 10 % overshoot and a fixed slack.
 double allowedInWindow()
 {
     constexpr double overshoot = 0.1;
@@ -144,7 +146,7 @@
 
 TEST_GROUP(Quota) {};
 
-TEST(Quota, DemandWithinTheAllowanceIsGrantedHoweverUneven)
+TEST(Quota, DemandWithinTheAllowanceIsGrantedWhenUnevenlyDistributed)
 {
     struct row {
         std::vector<double> demand;
@@ -155,16 +157,16 @@
         { { 45000, 45000, 0, 0, 0, 0 } },
     };
     for (const row& item : rows) {
-        played_nodes played(6);
-        played.play(milliseconds(0), milliseconds(12000), item.demand);
+        simulated_nodes simulation(6);
+        simulation.run(milliseconds(0), milliseconds(12000), item.demand);
         double asked = 0;
         for (const double rate : item.demand)
             asked += rate * 12;
-        CHECK(played.total(milliseconds(0), milliseconds(12000)) > 0.97 * (asked - 6 * requestTokens));
+        CHECK(simulation.total(milliseconds(0), milliseconds(12000)) > 0.97 * (asked - 6 * requestTokens));
     }
 }
 
-TEST(Quota, HeavyDemandIsHeldToTheAllowance)
+TEST(Quota, DemandAboveTheAllowanceIsLimitedToTheAllowance)
 {
     struct row {
         std::vector<double> demand;
@@ -175,28 +177,28 @@
         { { 200000, 200000, 5000, 5000, 5000, 5000 } },
     };
     for (const row& item : rows) {
-        played_nodes played(6);
-        played.play(milliseconds(0), milliseconds(16000), item.demand);
-        CHECK(played.mostInWindow(window) <= allowedInWindow());
-        // What is allowed is not withheld either.
-        CHECK(played.total(milliseconds(2000), milliseconds(16000)) > 0.85 * perSecond * 14);
+        simulated_nodes simulation(6);
+        simulation.run(milliseconds(0), milliseconds(16000), item.demand);
+        CHECK(simulation.maxInWindow(window) <= allowedInWindow());
+        // Nor is much of the allowance left unused.
+        CHECK(simulation.total(milliseconds(2000), milliseconds(16000)) > 0.85 * perSecond * 14);
     }
 }
 
-TEST(Quota, NodesThatAreCutOffOrRestartDoNotAddToTheAllowance)
+TEST(Quota, PartitionedOrRestartedNodesDoNotExceedTheAllowance)
 {
     const std::vector<double> heavy(6, 70000);
-    played_nodes played(6);
-    played.play(milliseconds(0), milliseconds(5000), heavy);
-    played.isCut[0] = true;
-    played.play(milliseconds(5000), milliseconds(10000), heavy);
-    played.isCut[0] = false;
+    simulated_nodes simulation(6);
+    simulation.run(milliseconds(0), milliseconds(5000), heavy);
+    simulation.isPartitioned[0] = true;
+    simulation.run(milliseconds(5000), milliseconds(10000), heavy);
+    simulation.isPartitioned[0] = false;
     for (size_t index = 1; index < 6; ++index) {
-        ++played.incarnations[index];
-        played.begin(index, milliseconds(10000), true);
+        ++simulation.incarnations[index];
+        simulation.startNode(index, milliseconds(10000), true);
     }
-    played.play(milliseconds(10000), milliseconds(18000), heavy);
-    CHECK(played.mostInWindow(window) <= allowedInWindow());
+    simulation.run(milliseconds(10000), milliseconds(18000), heavy);
+    CHECK(simulation.maxInWindow(window) <= allowedInWindow());
 }
 
 TEST(Quota, AnUnlimitedOrUnknownAccountIsGranted)
@@ -207,7 +209,7 @@
     CHECK(take(state, { "nobody" }, 1e9, at(milliseconds(0))).isGranted);
 }
 
-TEST(Quota, ARefusalSaysWhenToComeBackAndWhatDidNotRunIsGivenBack)
+TEST(Quota, RefusalStatesWhenToRetryAndRefundRestoresTheAllowance)
 {
     ledger state;
     setAllowances(state, makeCatalog(perSecond), at(milliseconds(0)));
