--- a/Source/Core/Routing/Router.cpp
+++ b/Source/Core/Routing/Router.cpp
@@ -8,27 +8,30 @@
 
     constexpr double sameRegionLinkSeconds = 0.001;
     constexpr double crossRegionLinkSeconds = 0.030;
+    /// Factor on the time to the first token at an endpoint that has the prompt prefix in its cache.
     constexpr double cachedPrefixFactor = 0.3;
-    /// Traffic across regions is paid by volume: micro money for one typical answer.
+    /// Cost of transferring one typical answer across regions, billed by volume; in millionths of the currency unit.
     constexpr double crossRegionCostMicro = 40.0;
     constexpr double secondsPerHour = 3600.0;
-    // The share of the target that a prediction may use; the rest covers its error.
-    constexpr double firstTargetShare = 0.6;
-    constexpr double lowestTargetShare = 0.25;
-    constexpr double highestTargetShare = 0.85;
+    // The share of the target that a prediction may use; the rest is a margin for the prediction error.
+    constexpr double initialTargetShare = 0.6;
+    constexpr double minTargetShare = 0.25;
+    constexpr double maxTargetShare = 0.85;
     constexpr double targetShareStep = 0.04;
     constexpr double toleratedLateShare = 0.02;
     /// Costs within this factor of the cheapest count as equal.
     constexpr double equalCostFactor = 1.1;
-    /// A decision looks at so many endpoints; with more, different decisions look at different ones.
-    constexpr size_t maxExamined = 64;
-    constexpr double learningRate = 0.1;
-    constexpr double slowLearningRate = 0.01;
-    constexpr double errorLearningRate = 0.15;
-    constexpr double plausibleFactor = 2.0;
-    constexpr double shortestFirstTokenSeconds = 0.001;
+    /// A decision examines at most this many endpoints, starting at a random one if the service has more.
+    constexpr size_t maxExaminedEndpoints = 64;
+    // Weights of a new sample in a moving average.
+    constexpr double smoothingFactor = 0.1;
+    constexpr double outlierSmoothingFactor = 0.01;
+    constexpr double errorSmoothingFactor = 0.15;
+    /// A time to the first token above this multiple of the estimate is mostly unpredicted queueing.
+    constexpr double maxPlausibleFactor = 2.0;
+    constexpr double minFirstTokenSeconds = 0.001;
     constexpr double ejectionFailureRate = 0.5;
-    constexpr std::chrono::seconds firstEjection { 1 };
+    constexpr std::chrono::seconds firstEjectionPeriod { 1 };
     constexpr uint32_t maxEjectionDoublings { 5 };
     constexpr std::chrono::seconds slowStartPeriod { 10 };
     constexpr size_t maxPrefixHolders = 8192;
@@ -39,17 +42,17 @@
         return view.isInRegion ? sameRegionLinkSeconds : crossRegionLinkSeconds;
     }
 
-    double occupied(const router_state& state, const endpoint_view& view)
+    double occupiedSlots(const router_state& state, const endpoint_view& view)
     {
-        // The report lags, so what this node has sent since counts too.
-        // The other nodes see the same report and send about as much.
+        // The report is outdated by the attempts that were sent since. This node counts its own;
+        // the other nodes see the same report and are assumed to send as many each.
         return static_cast<double>(view.reportedRunning) + view.reportedWaiting + view.sentSinceReport * state.sharingNodes;
     }
 
     double queueSeconds(const router_state& state, const endpoint_view& view)
     {
-        const double ahead = occupied(state, view) + 1 - view.slots;
-        return ahead <= 0 ? 0 : ahead / view.slots * view.answerSeconds;
+        const double queuedAhead = occupiedSlots(state, view) + 1 - view.slots;
+        return queuedAhead <= 0 ? 0 : queuedAhead / view.slots * view.answerSeconds;
     }
 
     candidate predict(const router_state& state, uint32_t index, const Common::endpoint_id* prefixHolder)
@@ -60,7 +63,7 @@
         const double occupiedSeconds = view.answerSeconds - view.firstTokenSeconds + prefill;
         candidate item;
         item.index = index;
-        item.errorSeconds = view.errorSeconds;
+        item.predictionErrorSeconds = view.predictionErrorSeconds;
         item.firstTokenSeconds = linkSeconds(view) + queueSeconds(state, view) + prefill;
         item.costMicro = view.costPerSlotSecond * std::max(occupiedSeconds, 0.0);
         if (!view.isInRegion)
@@ -78,17 +81,19 @@
         return view.ejectedUntil <= now && (request.avoided.empty() || !isAvoided(request, view.info->id));
     }
 
-    /// A newcomer takes a growing share of the choices, so that a cold cache is not flooded.
+    /// A recently added endpoint passes with a probability that grows with its age: its cache is still cold, and full
+    /// traffic would overload it. The probability is at least smoothingFactor.
     bool passesSlowStart(router_state& state, const endpoint_view& view, Common::instant now)
     {
         const auto age = now - view.firstSeen;
         if (age >= slowStartPeriod)
             return true;
         const double share = std::chrono::duration<double>(age) / std::chrono::duration<double>(slowStartPeriod);
-        return Common::uniformUnit(state.random) < std::max(share, learningRate);
+        return Common::uniformUnit(state.random) < std::max(share, smoothingFactor);
     }
 
-    /// @return the version that this request goes to, or nothing when the shares do not restrict it.
+    /// Draws a version at random in proportion to the shares.
+    /// @return the version that has to serve this request, or nothing if any version without a share may.
     std::optional<Common::version_name> drawVersion(router_state& state, const routing_request& request)
     {
         if (!request.versionShares)
@@ -111,20 +116,21 @@
 
     using index_list = std::vector<uint32_t>;
 
-    void collect(router_state& state, const routing_request& request, const index_list& all, const std::optional<Common::version_name>& drawn, Common::instant now)
+    /// Appends the admissible endpoints of a list to the scratch list.
+    void collectAdmissible(router_state& state, const routing_request& request, const index_list& serviceIndexes, const std::optional<Common::version_name>& drawn, Common::instant now)
     {
         index_list& list = state.scratchIndexes;
-        const auto count = static_cast<uint32_t>(all.size());
-        const uint32_t start = count > maxExamined ? Common::uniformBelow(state.random, count) : 0;
-        for (uint32_t step = 0; step < count && list.size() < maxExamined; ++step) {
-            const uint32_t index = all[start + step < count ? start + step : start + step - count];
+        const auto count = static_cast<uint32_t>(serviceIndexes.size());
+        const uint32_t start = count > maxExaminedEndpoints ? Common::uniformBelow(state.random, count) : 0;
+        for (uint32_t step = 0; step < count && list.size() < maxExaminedEndpoints; ++step) {
+            const uint32_t index = serviceIndexes[start + step < count ? start + step : start + step - count];
             const endpoint_view& view = state.views[index];
             if (isAdmissible(view, request, now) && (!request.versionShares || matchesVersion(request, drawn, view.info->version)))
                 list.push_back(index);
         }
     }
 
-    /// Fills the router's scratch list with endpoints that may be asked now: all of them, or a random run of a long list.
+    /// Fills the scratch list with the admissible endpoints of the request's service, at most maxExaminedEndpoints.
     index_list& listAdmissible(router_state& state, const routing_request& request, Common::instant now)
     {
         index_list& list = state.scratchIndexes;
@@ -135,10 +141,11 @@
         auto drawn = drawVersion(state, request);
         if (!drawn && request.currentVersion && !request.currentVersion->value.empty())
             drawn = *request.currentVersion;
-        collect(state, request, found->second, drawn, now);
-        // Without an instance of the wanted version the others serve, but never one that is held at no traffic.
+        collectAdmissible(state, request, found->second, drawn, now);
+        // If no instance of the drawn version is admissible, the others serve the request,
+        // but never a version with a share of its own, as that may be zero.
         if (list.empty() && drawn)
-            collect(state, request, found->second, std::nullopt, now);
+            collectAdmissible(state, request, found->second, std::nullopt, now);
         return list;
     }
 
@@ -150,7 +157,8 @@
 
     const candidate& fasterOfTwo(router_state& state, const std::vector<candidate>& items, const Common::endpoint_id* prefixHolder)
     {
-        // Two random choices keep many nodes from chasing the same idle endpoint; a holder of the prefix is always one.
+        // Choosing the better of two random candidates keeps many nodes from all sending to the same idle endpoint.
+        // The endpoint that holds the prompt prefix is always one of the two.
         const auto count = static_cast<uint32_t>(items.size());
         const auto holder = std::find_if(items.begin(), items.end(), [&](const candidate& item) {
             return prefixHolder && state.views[item.index].info->id == *prefixHolder;
@@ -162,55 +170,58 @@
 
     double targetSeconds(const router_state& state, const Configuration::class_of_work& work)
     {
-        const auto learned = state.targetShares.find(work.name);
-        const double share = learned == state.targetShares.end() ? firstTargetShare : learned->second;
+        const auto adapted = state.targetShares.find(work.name);
+        const double share = adapted == state.targetShares.end() ? initialTargetShare : adapted->second;
         const bool isModel = work.kind == Configuration::class_kind::Model;
         const auto target = isModel ? work.firstTokenTarget : work.answerTarget;
         return std::chrono::duration<double>(target).count() * share;
     }
 
-    /// Keeps those of the candidates that are in the target and about as cheap as the cheapest.
-    void keepEquallyCheap(std::vector<candidate>& items, double cheapest, double limit)
+    /// Removes candidates that exceed the limit or cost clearly more than the cheapest one.
+    /// @param cheapestCost in millionths of the currency unit.
+    /// @param limitSeconds upper limit of the predicted time to the first token and its prediction error.
+    void keepEquallyCheap(std::vector<candidate>& items, double cheapestCost, double limitSeconds)
     {
         std::erase_if(items, [&](const candidate& item) {
-            return item.firstTokenSeconds + item.errorSeconds > limit || item.costMicro > cheapest * equalCostFactor;
+            return item.firstTokenSeconds + item.predictionErrorSeconds > limitSeconds || item.costMicro > cheapestCost * equalCostFactor;
         });
     }
 
-    /// The endpoint that holds the prompt's prefix is looked at in any case.
+    /// Adds the endpoint that holds the prompt prefix if the scratch list is full, since a full list may not contain it.
     void addPrefixHolder(router_state& state, const routing_request& request, Common::instant now)
     {
         const Common::endpoint_id* holder = findPrefixHolder(state, request.prefixHash);
         const endpoint_view* view = holder ? findView(state, *holder) : nullptr;
-        const bool isMissing = view && state.scratchIndexes.size() == maxExamined;
-        if (isMissing && view->info->service == request.work->service && !request.versionShares && isAdmissible(*view, request, now))
+        const bool mayBeMissing = view && state.scratchIndexes.size() == maxExaminedEndpoints;
+        if (mayBeMissing && view->info->service == request.work->service && !request.versionShares && isAdmissible(*view, request, now))
             state.scratchIndexes.push_back(static_cast<uint32_t>(view - state.views.data()));
     }
 
     routing_choice chooseCheapest(router_state& state, const routing_request& request, const index_list& list, Common::instant now)
     {
-        const double limit = targetSeconds(state, *request.work);
+        const double limitSeconds = targetSeconds(state, *request.work);
         const Common::endpoint_id* holder = findPrefixHolder(state, request.prefixHash);
-        std::vector<candidate>& all = state.scratchCandidates;
-        all.clear();
+        std::vector<candidate>& candidates = state.scratchCandidates;
+        candidates.clear();
         const candidate* fastest = nullptr;
-        double cheapest = -1;
-        all.reserve(list.size() + 1);
+        double cheapestCost = -1;
+        candidates.reserve(list.size() + 1);
         for (const uint32_t index : list) {
-            const candidate& item = all.emplace_back(predict(state, index, holder));
+            const candidate& item = candidates.emplace_back(predict(state, index, holder));
             if (!fastest || item.firstTokenSeconds < fastest->firstTokenSeconds)
                 fastest = &item;
-            const bool isCheapest = item.firstTokenSeconds + item.errorSeconds <= limit && (cheapest < 0 || item.costMicro < cheapest);
+            const bool isCheapest = item.firstTokenSeconds + item.predictionErrorSeconds <= limitSeconds && (cheapestCost < 0 || item.costMicro < cheapestCost);
             if (isCheapest && passesSlowStart(state, state.views[index], now))
-                cheapest = item.costMicro;
+                cheapestCost = item.costMicro;
         }
-        if (cheapest < 0)
+        if (cheapestCost < 0)
             return { fastest->index, fastest->firstTokenSeconds, fastest->costMicro, false };
-        keepEquallyCheap(all, cheapest, limit);
-        const candidate& chosen = fasterOfTwo(state, all, holder);
+        keepEquallyCheap(candidates, cheapestCost, limitSeconds);
+        const candidate& chosen = fasterOfTwo(state, candidates, holder);
         return { chosen.index, chosen.firstTokenSeconds, chosen.costMicro, true };
     }
 
+    /// @return 0 in this node's zone, 1 in its region, 2 elsewhere.
     uint32_t distance(const router_state& state, const Endpoints::instance_info& info)
     {
         if (info.zone == state.zone)
@@ -237,15 +248,15 @@
     void eject(endpoint_view& view, Common::instant now)
     {
         const uint32_t doublings = std::min(view.ejections, maxEjectionDoublings);
-        view.ejectedUntil = now + firstEjection * (1U << doublings);
+        view.ejectedUntil = now + firstEjectionPeriod * (1U << doublings);
         view.ejections += 1;
-        // Let back in with half of its past held against it.
+        // After the ejection the endpoint starts at half the rate that ejects it, so fewer failures eject it again.
         view.failureRate = ejectionFailureRate / 2;
     }
 
-    void learn(double& estimate, double sample, double rate = learningRate)
+    void updateAverage(double& estimate, double sample, double factor = smoothingFactor)
     {
-        estimate += rate * (sample - estimate);
+        estimate += factor * (sample - estimate);
     }
 
 } // namespace
@@ -317,9 +328,9 @@
     if (!view)
         return;
     view->inFlight -= view->inFlight > 0 ? 1 : 0;
-    learn(view->failureRate, outcome.isFailed ? 1.0 : 0.0);
+    updateAverage(view->failureRate, outcome.isFailed ? 1.0 : 0.0);
     if (outcome.answerSeconds)
-        learn(view->answerSeconds, *outcome.answerSeconds);
+        updateAverage(view->answerSeconds, *outcome.answerSeconds);
     if (!outcome.isFailed)
         view->ejections = 0;
     if (view->failureRate >= ejectionFailureRate)
@@ -328,19 +339,20 @@
 
 void learnFirstToken(endpoint_view& view, double seconds, double predictedSeconds)
 {
-    learn(view.errorSeconds, std::max(0.0, seconds - predictedSeconds), errorLearningRate);
+    updateAverage(view.predictionErrorSeconds, std::max(0.0, seconds - predictedSeconds), errorSmoothingFactor);
     const double predictedQueue = std::max(0.0, predictedSeconds - view.firstTokenSeconds);
-    const double withoutQueue = std::max(shortestFirstTokenSeconds, seconds - predictedQueue);
-    // A much later token was waiting behind others: that is the error's part, not the prefill's.
-    const bool isPlausible = withoutQueue < view.firstTokenSeconds * plausibleFactor;
-    learn(view.firstTokenSeconds, withoutQueue, isPlausible ? learningRate : slowLearningRate);
+    const double withoutQueue = std::max(minFirstTokenSeconds, seconds - predictedQueue);
+    // A much later first token was queued behind other requests. That is part of the prediction error,
+    // so it has little weight in the estimate of the prefill time.
+    const bool isPlausible = withoutQueue < view.firstTokenSeconds * maxPlausibleFactor;
+    updateAverage(view.firstTokenSeconds, withoutQueue, isPlausible ? smoothingFactor : outlierSmoothingFactor);
 }
 
 void learnTargetShare(router_state& state, const Common::class_name& work, bool isLate)
 {
-    double& share = state.targetShares.try_emplace(work, firstTargetShare).first->second;
+    double& share = state.targetShares.try_emplace(work, initialTargetShare).first->second;
     share += isLate ? -targetShareStep : targetShareStep * toleratedLateShare / (1 - toleratedLateShare);
-    share = std::clamp(share, lowestTargetShare, highestTargetShare);
+    share = std::clamp(share, minTargetShare, maxTargetShare);
 }
 
 endpoint_view* findView(router_state& state, const Common::endpoint_id& id)
--- a/Source/Core/Routing/Tests/RouterTest.cpp
+++ b/Source/Core/Routing/Tests/RouterTest.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Routing: cheapest within the target, herding, ejection, versions, baselines.
+/// Choice of endpoints: cheapest within the target, herding, ejection, version shares, baseline policies.
 
 #include "Routing/Router.h"
 
@@ -40,7 +40,7 @@
     state.chosenPolicy = chosen;
     state.zone = { "east" };
     state.region = { "home" };
-    setEndpoints(state, { makeInstance("cheap", "west", "home", 100), makeInstance("dear", "east", "home", 900), makeInstance("far", "x", "abroad", 50) }, testStart);
+    setEndpoints(state, { makeInstance("cheap", "west", "home", 100), makeInstance("expensive", "east", "home", 900), makeInstance("far", "x", "abroad", 50) }, testStart);
     return state;
 }
 
@@ -57,14 +57,14 @@
 
 TEST_GROUP(Router) {};
 
-TEST(Router, TakesTheCheapestThatMeetsTheTarget)
+TEST(Router, CheapestEndpointThatMeetsTheTargetIsChosen)
 {
     struct row {
         uint32_t waitingAtCheap;
         const char* expected;
     };
-    // The far region costs its traffic by volume; a queue at the cheap endpoint breaks the target there.
-    const row rows[] = { { 0, "cheap" }, { 40, "dear" } };
+    // "far" has the lowest price but the transfer cost of another region; a queue at "cheap" exceeds the target there.
+    const row rows[] = { { 0, "cheap" }, { 40, "expensive" } };
     for (const row& item : rows) {
         router_state state = makeState();
         takeReport(state, { { "cheap" }, 4, item.waitingAtCheap, false });
@@ -72,13 +72,13 @@
     }
 }
 
-TEST(Router, WhatWasSentSinceTheReportCounts)
+TEST(Router, AttemptsSentSinceTheLastReportCountAsLoad)
 {
     router_state state = makeState();
     takeReport(state, { { "cheap" }, 0, 0, false });
     for (int sent = 0; sent < 40; ++sent)
         noteBegun(state, { "cheap" }, 0);
-    STRCMP_EQUAL("dear", choose(state, makeClass()).c_str());
+    STRCMP_EQUAL("expensive", choose(state, makeClass()).c_str());
     takeReport(state, { { "cheap" }, 0, 0, false });
     STRCMP_EQUAL("cheap", choose(state, makeClass()).c_str());
 }
@@ -96,7 +96,7 @@
     LONGS_EQUAL(10, chosen.size());
 }
 
-TEST(Router, AmongManyTheHolderOfThePrefixIsFound)
+TEST(Router, PrefixHolderIsChosenAmongMoreEndpointsThanOneDecisionExamines)
 {
     router_state state;
     std::vector<Endpoints::instance_info> instances;
@@ -112,12 +112,12 @@
         STRCMP_EQUAL("e77", state.views[chooseEndpoint(state, request, testStart)->index].info->id.value.c_str());
 }
 
-TEST(Router, AFailingEndpointIsEjectedAndLetBackIn)
+TEST(Router, FailingEndpointIsEjectedAndReadmittedLater)
 {
     router_state state = makeState();
     for (int failures = 0; failures < 10; ++failures)
         noteEnded(state, { "cheap" }, { true, {} }, testStart);
-    STRCMP_EQUAL("dear", choose(state, makeClass()).c_str());
+    STRCMP_EQUAL("expensive", choose(state, makeClass()).c_str());
     routing_request request;
     const auto work = makeClass();
     request.work = &work;
@@ -128,18 +128,18 @@
 TEST(Router, AvoidedEndpointsAndUnknownServicesAreNotChosen)
 {
     router_state state = makeState();
-    STRCMP_EQUAL("dear", choose(state, makeClass(), { { "cheap" } }).c_str());
+    STRCMP_EQUAL("expensive", choose(state, makeClass(), { { "cheap" } }).c_str());
     auto unknown = makeClass();
     unknown.service = "other";
     STRCMP_EQUAL("none", choose(state, unknown).c_str());
 }
 
-TEST(Router, AVersionGetsItsShareOfTheTraffic)
+TEST(Router, VersionReceivesItsShareOfTheTraffic)
 {
     struct row {
         uint32_t share;
-        int least;
-        int most;
+        int minimum;
+        int maximum;
     };
     const row rows[] = { { 0, 0, 0 }, { 10, 1, 60 }, { 1000, 2000, 2000 } };
     for (const row& item : rows) {
@@ -153,21 +153,21 @@
         int toNew = 0;
         for (int round = 0; round < 2000; ++round)
             toNew += state.views[chooseEndpoint(state, request, testStart)->index].info->id.value == "new" ? 1 : 0;
-        CHECK(toNew >= item.least && toNew <= item.most);
+        CHECK(toNew >= item.minimum && toNew <= item.maximum);
     }
 }
 
-TEST(Router, BaselinesDoWhatTheirNamesSay)
+TEST(Router, BaselinePoliciesChooseByTheirOwnCriterion)
 {
     struct row {
         policy chosen;
         const char* expected;
     };
-    const row rows[] = { { policy::Nearest, "dear" }, { policy::LeastReported, "far" } };
+    const row rows[] = { { policy::Nearest, "expensive" }, { policy::LeastReported, "far" } };
     for (const row& item : rows) {
         router_state state = makeState(item.chosen);
         takeReport(state, { { "cheap" }, 3, 0, false });
-        takeReport(state, { { "dear" }, 2, 0, false });
+        takeReport(state, { { "expensive" }, 2, 0, false });
         STRCMP_EQUAL(item.expected, choose(state, makeClass()).c_str());
     }
     router_state state = makeState(policy::RoundRobin);
