--- a/Source/Core/Membership/Members.cpp
+++ b/Source/Core/Membership/Members.cpp
@@ -22,13 +22,14 @@
         return candidate.status > known.status;
     }
 
-    void passOn(membership_state& state, const std::vector<member>& facts, const Common::node_id& except, actions& output)
+    /// @param excludedPeer the sender of the facts, or an empty id.
+    void forwardToLinks(membership_state& state, const std::vector<member>& facts, const Common::node_id& excludedPeer, actions& output)
     {
         if (facts.empty())
             return;
         for (const auto& [id, link] : state.links) {
             const auto peer = state.members.find(id);
-            if (id != except && peer != state.members.end())
+            if (id != excludedPeer && peer != state.members.end())
                 output.push_back(send_facts { peer->second.peerAddress, facts });
         }
     }
@@ -43,25 +44,27 @@
         state.links = std::move(next);
     }
 
-    /// A rumour that this node is suspect or dead is answered by a higher incarnation.
-    bool refute(membership_state& state, const member& rumour)
+    /// Refutes a claim that this node is suspect or dead: a record with a higher incarnation supersedes the claim.
+    /// @return whether this node's own record changed.
+    bool refute(membership_state& state, const member& claim)
     {
-        const bool isHarmless = rumour.incarnation < state.self.incarnation
-            || (rumour.incarnation == state.self.incarnation && rumour.status <= state.self.status);
-        if (isHarmless || rumour.status == member_status::Alive)
+        const bool isSuperseded = claim.incarnation < state.self.incarnation
+            || (claim.incarnation == state.self.incarnation && claim.status <= state.self.status);
+        if (isSuperseded || claim.status == member_status::Alive)
             return false;
-        state.self.incarnation = { rumour.incarnation.value + 1 };
+        state.self.incarnation = { claim.incarnation.value + 1 };
         return true;
     }
 
-    /// @return the facts that were new to this node.
+    /// Merges facts into the member table; of two records of a member, the one that supersedes the other is kept.
+    /// @return the facts that changed the table or this node's own record.
     std::vector<member> merge(membership_state& state, const std::vector<member>& facts, Common::instant now, actions& output)
     {
-        std::vector<member> fresh;
+        std::vector<member> accepted;
         for (const member& item : facts) {
             if (item.id == state.self.id) {
                 if (refute(state, item))
-                    fresh.push_back(state.self);
+                    accepted.push_back(state.self);
                 continue;
             }
             const auto known = state.members.find(item.id);
@@ -70,18 +73,20 @@
             state.members[item.id] = item;
             state.statusSince[item.id] = now;
             output.push_back(member_changed { item });
-            fresh.push_back(item);
+            accepted.push_back(item);
         }
-        return fresh;
+        return accepted;
     }
 
-    void absorb(membership_state& state, const std::vector<member>& facts, const Common::node_id& from, Common::instant now, actions& output)
+    /// Merges facts and forwards those that changed something.
+    /// @param from the sender, which doesn't get them back; empty for facts that this node found itself.
+    void applyFacts(membership_state& state, const std::vector<member>& facts, const Common::node_id& from, Common::instant now, actions& output)
     {
-        const std::vector<member> fresh = merge(state, facts, now, output);
-        if (fresh.empty())
+        const std::vector<member> accepted = merge(state, facts, now, output);
+        if (accepted.empty())
             return;
         refreshLinks(state, now);
-        passOn(state, fresh, from, output);
+        forwardToLinks(state, accepted, from, output);
         output.push_back(publish_members { state.members });
     }
 
@@ -107,7 +112,7 @@
             link->second.mismatches = 0;
             return;
         }
-        // A change on its way explains a few mismatches; more of them mean that a fact was lost.
+        // Facts still in transit cause a few mismatches; more of them mean that a fact was lost.
         if (++link->second.mismatches < state.settings.mismatchesBeforePull)
             return;
         link->second.mismatches = 0;
@@ -118,29 +123,29 @@
     void handle(membership_state& state, probe_heard&& message, Common::instant now, actions& output)
     {
         const auto known = state.members.find(message.from);
-        const bool isStranger = known == state.members.end() || known->second.status == member_status::Dead
+        const bool isUnknownOrOutdated = known == state.members.end() || known->second.status == member_status::Dead
             || known->second.incarnation < message.incarnation;
         const auto link = state.links.find(message.from);
         if (link != state.links.end())
             link->second.lastHeard = now;
         if (!message.isReply)
             output.push_back(send_probe { message.fromAddress, message.sequence, digestMembers(state), state.configuration, true });
-        // A node that was declared dead learns it here and refutes; a newcomer gets the table.
-        if (isStranger) {
+        // A node that was declared dead finds this in the table and refutes it. A new node gets the members from it.
+        if (isUnknownOrOutdated) {
             output.push_back(send_facts { message.fromAddress, fullTable(state) });
             output.push_back(send_pull { message.fromAddress });
         }
         compareDigest(state, message, output);
         if (message.configuration > state.configuration)
-            output.push_back(peer_ahead { message.configuration });
+            output.push_back(newer_configuration_seen { message.configuration });
     }
 
     void handle(membership_state& state, facts_heard&& message, Common::instant now, actions& output)
     {
-        absorb(state, message.members, message.from, now, output);
+        applyFacts(state, message.members, message.from, now, output);
     }
 
-    void handle(membership_state& state, pull_heard&& message, Common::instant, actions& output)
+    void handle(membership_state& state, pull_requested&& message, Common::instant, actions& output)
     {
         output.push_back(send_facts { message.fromAddress, fullTable(state) });
     }
@@ -158,20 +163,21 @@
     void handle(membership_state& state, leave_begun&&, Common::instant, actions& output)
     {
         state.self.status = member_status::Leaving;
-        passOn(state, { state.self }, {}, output);
+        forwardToLinks(state, { state.self }, {}, output);
     }
 
-    /// A larger fleet is probed more slowly, so that it costs a node no more bytes.
-    std::chrono::milliseconds stretch(const membership_state& state, std::chrono::milliseconds time)
+    /// Scales an interval with the number of members, so that the traffic of a node doesn't grow with a large fleet.
+    std::chrono::milliseconds scaleByMembers(const membership_state& state, std::chrono::milliseconds time)
     {
         const auto members = static_cast<int64_t>(state.members.size() + 1);
-        return members <= state.settings.membersPerInterval ? time : time * members / state.settings.membersPerInterval;
+        return members <= state.settings.maxMembersAtBaseInterval ? time : time * members / state.settings.maxMembersAtBaseInterval;
     }
 
-    /// A node that was paused has heard nobody: that says nothing about the others.
-    void forgiveOwnPause(membership_state& state, Common::instant now)
+    /// Restarts the timeouts after a pause of this process. It received nothing meanwhile, which doesn't mean that its
+    /// peers failed.
+    void restartTimersAfterPause(membership_state& state, Common::instant now)
     {
-        const bool wasPaused = now - state.lastTick > stretch(state, 2 * state.settings.probeInterval);
+        const bool wasPaused = now - state.lastTick > scaleByMembers(state, 2 * state.settings.probeInterval);
         state.lastTick = now;
         if (!wasPaused)
             return;
@@ -181,12 +187,13 @@
             since = now;
     }
 
+    /// @return the records of linked peers whose silence makes them suspect, or dead if they were leaving.
     std::vector<member> findSilent(const membership_state& state, Common::instant now)
     {
         std::vector<member> changed;
         for (const auto& [id, link] : state.links) {
             const member& item = state.members.at(id);
-            const bool isSilent = now - link.lastHeard >= stretch(state, state.settings.suspectAfter);
+            const bool isSilent = now - link.lastHeard >= scaleByMembers(state, state.settings.suspectAfter);
             if (!isSilent || item.status == member_status::Suspect || item.status == member_status::Dead)
                 continue;
             member suspect = item;
@@ -196,11 +203,12 @@
         return changed;
     }
 
-    std::vector<member> findDead(const membership_state& state, Common::instant now)
+    /// @return the records of suspects that didn't refute in time, with status dead.
+    std::vector<member> findExpiredSuspects(const membership_state& state, Common::instant now)
     {
         std::vector<member> changed;
         for (const auto& [id, item] : state.members) {
-            if (item.status != member_status::Suspect || now - state.statusSince.at(id) < stretch(state, state.settings.deadAfter))
+            if (item.status != member_status::Suspect || now - state.statusSince.at(id) < scaleByMembers(state, state.settings.deadAfter))
                 continue;
             member dead = item;
             dead.status = member_status::Dead;
@@ -209,7 +217,8 @@
         return changed;
     }
 
-    void dropForgotten(membership_state& state, Common::instant now)
+    /// Removes members that have been dead for longer than the retention.
+    void removeExpiredDead(membership_state& state, Common::instant now)
     {
         std::erase_if(state.members, [&](const auto& entry) {
             return entry.second.status == member_status::Dead && now - state.statusSince.at(entry.first) >= state.settings.deadRetention;
@@ -217,8 +226,9 @@
         std::erase_if(state.statusSince, [&](const auto& entry) { return !state.members.contains(entry.first); });
     }
 
-    /// Without members the seeds are asked; with some, now and then one of the dead, in case a cut has healed.
-    void probeOutside(membership_state& state, actions& output)
+    /// Probes the seeds while this node has no links, and in each round one random dead member: after the end of a
+    /// partition the two sides find each other this way.
+    void probeSeedsAndDead(membership_state& state, actions& output)
     {
         if (state.links.empty()) {
             for (const std::string& address : state.seeds) {
@@ -237,16 +247,16 @@
 
     void handle(membership_state& state, membership_tick&&, Common::instant now, actions& output)
     {
-        forgiveOwnPause(state, now);
-        absorb(state, findSilent(state, now), {}, now, output);
-        absorb(state, findDead(state, now), {}, now, output);
-        dropForgotten(state, now);
+        restartTimersAfterPause(state, now);
+        applyFacts(state, findSilent(state, now), {}, now, output);
+        applyFacts(state, findExpiredSuspects(state, now), {}, now, output);
+        removeExpiredDead(state, now);
         if (now < state.nextProbe)
             return;
-        state.nextProbe = now + stretch(state, state.settings.probeInterval);
+        state.nextProbe = now + scaleByMembers(state, state.settings.probeInterval);
         for (const auto& [id, link] : state.links)
             probe(state, state.members.at(id).peerAddress, output);
-        probeOutside(state, output);
+        probeSeedsAndDead(state, output);
     }
 
 } // namespace
@@ -276,7 +286,7 @@
 uint64_t digestMembers(const membership_state& state)
 {
     uint64_t digest = digestMember(state.self);
-    // Nodes forget the dead at different times, so that these don't count.
+    // Nodes remove dead members at different times, so the digest leaves them out.
     for (const auto& [id, item] : state.members) {
         if (item.status != member_status::Dead)
             digest ^= digestMember(item);
--- a/Source/Core/Membership/Model.h
+++ b/Source/Core/Membership/Model.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Entry nodes as their peers know them.
+/// The records that entry nodes keep of each other.
 
 #include "Common/Ids.h"
 
@@ -10,14 +10,15 @@
 
 namespace Membership {
 
-/// In order of precedence: of two facts about one incarnation the later state wins.
+/// In order of precedence: of two records with the same incarnation, the one with the later status wins.
 enum class member_status {
     Alive,
-    Suspect, ///< A prober does not hear it; the node itself may still refute this.
-    Leaving, ///< By its own word: takes no new callers.
+    Suspect, ///< Sends no probes or replies to a node that probes it; the node may still refute this.
+    Leaving, ///< Announced by the node itself: it accepts no new callers.
     Dead,
 };
 
+/// One entry node.
 struct member {
     Common::node_id id;
     std::string peerAddress;
--- a/Source/Core/Membership/Overlay.cpp
+++ b/Source/Core/Membership/Overlay.cpp
@@ -13,6 +13,7 @@
         Common::node_id id;
     };
 
+    /// @return this node and all members that are not dead, in order of their position.
     std::vector<ring_point> placeOnRing(const Common::node_id& self, const member_map& members)
     {
         std::vector<ring_point> points { { Common::hash64(self.value), self } };
@@ -41,13 +42,13 @@
 
 std::vector<Common::node_id> choosePushLinks(const Common::node_id& self, const member_map& members)
 {
-    constexpr size_t fewLinks = 4;
-    constexpr size_t everyThird = 3;
+    constexpr size_t maxUnthinnedLinks = 4;
+    constexpr size_t pushLinkStride = 3;
     std::vector<Common::node_id> links = chooseLinks(self, members);
-    if (links.size() <= fewLinks)
+    if (links.size() <= maxUnthinnedLinks)
         return links;
     std::vector<Common::node_id> chosen;
-    for (size_t index = 0; index < links.size(); index += everyThird)
+    for (size_t index = 0; index < links.size(); index += pushLinkStride)
         chosen.push_back(links[index]);
     return chosen;
 }
--- a/Source/Core/Membership/PeerCodec.cpp
+++ b/Source/Core/Membership/PeerCodec.cpp
@@ -46,29 +46,29 @@
 
 probe_heard decodeProbe(const filbertreel::peer::envelope& message)
 {
-    probe_heard heard;
-    heard.from = { message.sender() };
-    heard.fromAddress = message.sender_address();
-    heard.incarnation = { message.incarnation() };
-    heard.isReply = message.has_probe_reply();
-    const auto fill = [&heard](const auto& body) {
-        heard.sequence = body.sequence();
-        heard.digest = body.membership_digest();
-        heard.configuration = { body.configuration_version() };
+    probe_heard received;
+    received.from = { message.sender() };
+    received.fromAddress = message.sender_address();
+    received.incarnation = { message.incarnation() };
+    received.isReply = message.has_probe_reply();
+    const auto fill = [&received](const auto& body) {
+        received.sequence = body.sequence();
+        received.digest = body.membership_digest();
+        received.configuration = { body.configuration_version() };
     };
-    if (heard.isReply)
+    if (received.isReply)
         fill(message.probe_reply());
     else
         fill(message.probe());
-    return heard;
+    return received;
 }
 
 facts_heard decodeFacts(const filbertreel::peer::envelope& message)
 {
-    facts_heard heard { { message.sender() }, {} };
+    facts_heard received { { message.sender() }, {} };
     for (const auto& record : message.member_facts().members())
-        heard.members.push_back(decodeMember(record));
-    return heard;
+        received.members.push_back(decodeMember(record));
+    return received;
 }
 
 void encodeChanges(const std::vector<Configuration::change>& changes, filbertreel::peer::configuration_changes& record)
@@ -82,13 +82,13 @@
 
 Configuration::peer_changes decodeChanges(const filbertreel::peer::configuration_changes& record)
 {
-    Configuration::peer_changes heard;
+    Configuration::peer_changes received;
     for (const auto& item : record.changes()) {
         auto change = Configuration::decodeChange(item.change_json());
         if (change)
-            heard.changes.push_back(std::move(*change));
+            received.changes.push_back(std::move(*change));
     }
-    return heard;
+    return received;
 }
 
 std::optional<Configuration::peer_snapshot> decodeSnapshot(const filbertreel::peer::configuration_changes& record)
@@ -113,11 +113,11 @@
 
 std::vector<Endpoints::load_heard> decodeLoads(const filbertreel::peer::load_digest& record)
 {
-    std::vector<Endpoints::load_heard> heard;
-    heard.reserve(static_cast<size_t>(record.loads_size()));
+    std::vector<Endpoints::load_heard> received;
+    received.reserve(static_cast<size_t>(record.loads_size()));
     for (const auto& load : record.loads())
-        heard.push_back({ { { load.endpoint() }, load.running(), load.waiting(), false } });
-    return heard;
+        received.push_back({ { { load.endpoint() }, load.running(), load.waiting(), false } });
+    return received;
 }
 
 void encodeTransfer(const Dispatch::request_transfer& item, filbertreel::peer::request_handover& record)
--- a/Source/Core/Membership/PeerCodec.h
+++ b/Source/Core/Membership/PeerCodec.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Between the peers' protobuf messages and the types of the duties.
+/// Conversion between the protobuf messages that peers exchange and the types of the duties.
 
 #include "Configuration/VersionChain.h"
 #include "Dispatch/Messages.h"
@@ -23,69 +23,69 @@
 namespace Membership {
 
 /// @param item a member.
-/// @param record filled with it.
+/// @param record receives the encoded member.
 void encodeMember(const member& item, filbertreel::peer::member_record& record);
-/// @param record what a peer sent.
-/// @return the member.
+/// @param record a member as received.
+/// @return the member; a status unknown to this version counts as dead.
 member decodeMember(const filbertreel::peer::member_record& record);
 
-/// @param action a probe or the reply to one.
-/// @param message filled with it.
+/// @param action a probe or a reply.
+/// @param message receives its body; the envelope's sender is left as it is.
 void encodeProbe(const send_probe& action, filbertreel::peer::envelope& message);
-/// @param message an envelope with a probe or the reply to one.
-/// @return what was heard.
+/// @param message an envelope with a probe or a reply.
+/// @return the probe or reply, with its sender.
 probe_heard decodeProbe(const filbertreel::peer::envelope& message);
-/// @param message an envelope with facts about members.
-/// @return what was heard.
+/// @param message an envelope with member records.
+/// @return the records, with their sender.
 facts_heard decodeFacts(const filbertreel::peer::envelope& message);
 
-/// @param changes links of the version chain.
-/// @param record extended by them.
+/// @param changes successive changes of the configuration.
+/// @param record the changes are appended to it.
 void encodeChanges(const std::vector<Configuration::change>& changes, filbertreel::peer::configuration_changes& record);
-/// @param record what a peer sent.
-/// @return the changes; what can't be read is left out.
+/// @param record changes as received.
+/// @return the changes; those that can't be parsed are left out.
 Configuration::peer_changes decodeChanges(const filbertreel::peer::configuration_changes& record);
-/// @param record what a peer sent.
-/// @return the whole configuration, when it is there and can be read.
+/// @param record changes as received.
+/// @return the snapshot of the whole configuration, or nothing if the message has none or it can't be parsed.
 std::optional<Configuration::peer_snapshot> decodeSnapshot(const filbertreel::peer::configuration_changes& record);
 
 /// @param reports load of endpoints.
-/// @param record extended by them.
+/// @param record the reports are appended to it.
 void encodeLoads(const std::vector<Endpoints::load_report>& reports, filbertreel::peer::load_digest& record);
-/// @param record what a peer sent.
+/// @param record reports as received.
 /// @return the reports.
 std::vector<Endpoints::load_heard> decodeLoads(const filbertreel::peer::load_digest& record);
 
-/// @param item a request in flight.
-/// @param record filled with it.
+/// @param item a request in progress.
+/// @param record receives the encoded request.
 void encodeTransfer(const Dispatch::request_transfer& item, filbertreel::peer::request_handover& record);
-/// @param record what a peer sent.
-/// @return the request; its body is null when it can't be read.
+/// @param record a request as received.
+/// @return the request; its body is a discarded JSON value if it can't be parsed.
 Dispatch::request_transfer decodeTransfer(const filbertreel::peer::request_handover& record);
 
 /// @param item this node's evidence on a rollout.
-/// @param record filled with it.
+/// @param record receives the encoded evidence.
 void encodeEvidence(const Rollout::tell_evidence& item, filbertreel::peer::rollout_evidence& record);
-/// @param node who counted.
-/// @param record what it sent.
+/// @param node the peer that counted.
+/// @param record its evidence as received.
 /// @return the evidence.
 Rollout::peer_evidence decodeEvidence(const Common::node_id& node, const filbertreel::peer::rollout_evidence& record);
 
-/// @param item what this node has granted.
-/// @param record filled with it.
+/// @param item this node's grants to client accounts.
+/// @param record the grants are appended to it.
 void encodeGrants(const Quota::node_report& item, filbertreel::peer::grant_report& record);
-/// @param node who granted.
-/// @param incarnation of the granting process.
-/// @param record what it sent.
+/// @param node the peer that granted.
+/// @param incarnation of the peer's process.
+/// @param record its report as received.
 /// @return the report.
 Quota::node_report decodeGrants(const Common::node_id& node, Common::incarnation_number incarnation, const filbertreel::peer::grant_report& record);
 
-/// @param item what this node was asked for.
-/// @param record filled with it.
+/// @param item the demand that this node received.
+/// @param record receives the encoded demand.
 void encodeDemand(const Scaling::node_demand& item, filbertreel::peer::grant_report& record);
-/// @param node who was asked.
-/// @param record what it sent.
-/// @return its demand.
+/// @param node the peer that received the demand.
+/// @param record its report as received.
+/// @return the demand.
 Scaling::node_demand decodeDemand(const Common::node_id& node, const filbertreel::peer::grant_report& record);
 
 } // namespace Membership
--- a/Source/Core/Membership/PeerDuty.cpp
+++ b/Source/Core/Membership/PeerDuty.cpp
@@ -20,8 +20,9 @@
 
     constexpr size_t ringCapacity = 8192;
     constexpr std::chrono::milliseconds tickInterval { 200 };
-    /// Peers that are asked for a request besides the one that its id names.
+    /// Number of peers that are asked whether they hold a request, in addition to the node that its id names.
     constexpr size_t holderCandidates = 8;
+    /// Transfers are offered in turn to this many of the peers that rank highest for the request's id.
     constexpr size_t transferRanks = 3;
 
 } // namespace
@@ -33,8 +34,8 @@
     Common::ring<peer_message> inbox { ringCapacity };
     peer_sockets sockets;
     int wakeHandle { -1 };
-    uint64_t placedTransfers { 0 };
-    uint64_t pulls { 0 };
+    uint64_t offeredTransfers { 0 };
+    uint64_t pullCount { 0 };
     std::atomic<bool> isStopping { false };
 
     void wake() const
@@ -102,7 +103,7 @@
         outlets.publishMembers(action.members);
     }
 
-    void perform(const peer_ahead& action)
+    void perform(const newer_configuration_seen& action)
     {
         outlets.tellConfiguration(Configuration::peer_is_ahead { action.version });
     }
@@ -112,39 +113,39 @@
         Common::logEvent(Common::log_level::Info, "member_changed", { { "member", action.item.id.value }, { "status", nameOf(action.item.status) }, { "incarnation", action.item.incarnation.value } });
     }
 
-    // What the other duties ask for.
+    // Messages from other duties.
 
-    void take(seeds_known&& message)
+    void handle(seeds_known&& message)
     {
         for (const std::string& address : settings.seeds)
             message.peerAddresses.push_back(address);
         step(std::move(message));
     }
 
-    void take(configuration_moved&& message) { step(message); }
+    void handle(configuration_moved&& message) { step(message); }
 
-    void take(leave_begun&& message) { step(message); }
+    void handle(leave_begun&& message) { step(message); }
 
-    void take(push_changes&& message)
+    void handle(push_changes&& message)
     {
         envelope outgoing;
         encodeChanges(message.changes, *outgoing.mutable_configuration_changes());
-        // What a lost push leaves behind, the version in the next probe brings up.
+        // If a push is lost, the next probe shows the peer the higher version, and it requests the changes.
         for (const Common::node_id& id : choosePushLinks(settings.self.id, state.members))
             sendTo(id, outgoing);
     }
 
-    void take(pull_changes&& message)
+    void handle(pull_changes&& message)
     {
         envelope outgoing;
         outgoing.mutable_configuration_pull()->set_after_version(message.after.value);
-        // One peer at a time: each may answer with the whole configuration. The next pull asks the next one.
+        // Only one peer per pull, since each may reply with the whole configuration. The next pull asks the next peer.
         const auto links = chooseLinks(settings.self.id, state.members);
         if (!links.empty())
-            sendTo(links[pulls++ % links.size()], outgoing);
+            sendTo(links[pullCount++ % links.size()], outgoing);
     }
 
-    void take(give_changes&& message)
+    void handle(give_changes&& message)
     {
         envelope outgoing;
         auto* changes = outgoing.mutable_configuration_changes();
@@ -154,7 +155,7 @@
         sendTo(message.reply.peer, outgoing);
     }
 
-    void take(push_leaving&& message)
+    void handle(push_leaving&& message)
     {
         envelope outgoing;
         outgoing.mutable_endpoint_leaving()->set_endpoint(message.endpoint.value);
@@ -162,28 +163,28 @@
         sendToLinks(outgoing);
     }
 
-    void take(push_instances&& message)
+    void handle(push_instances&& message)
     {
         envelope outgoing;
         outgoing.mutable_instances_seen()->set_list_json(Endpoints::encodeInstances(message.instances));
         sendToLinks(outgoing);
     }
 
-    void take(give_loads&& message)
+    void handle(give_loads&& message)
     {
         envelope outgoing;
         encodeLoads(message.reports, *outgoing.mutable_load_digest());
         sendTo(message.peer, outgoing);
     }
 
-    void take(push_evidence&& message)
+    void handle(push_evidence&& message)
     {
         envelope outgoing;
         encodeEvidence(message.evidence, *outgoing.mutable_rollout_evidence());
         sendToAllAlive(outgoing);
     }
 
-    void take(push_latch&& message)
+    void handle(push_latch&& message)
     {
         envelope outgoing;
         outgoing.mutable_rollout_latch()->set_service(message.latch.key.service);
@@ -200,7 +201,7 @@
         }
     }
 
-    void take(push_grants&& message)
+    void handle(push_grants&& message)
     {
         envelope outgoing;
         encodeGrants(message.report, *outgoing.mutable_grant_report());
@@ -208,16 +209,16 @@
         sendToAllAlive(outgoing);
     }
 
-    void take(pull_catalog&& message)
+    void handle(pull_catalog&& message)
     {
         envelope outgoing;
         outgoing.mutable_catalog_pull()->set_after_version(message.after);
         const auto links = chooseLinks(settings.self.id, state.members);
         if (!links.empty())
-            sendTo(links[pulls++ % links.size()], outgoing);
+            sendTo(links[pullCount++ % links.size()], outgoing);
     }
 
-    void take(give_catalog&& message)
+    void handle(give_catalog&& message)
     {
         envelope outgoing;
         outgoing.mutable_catalog_text()->set_version(message.version);
@@ -225,10 +226,10 @@
         sendTo(message.peer, outgoing);
     }
 
-    void take(place_transfer&& message)
+    void handle(place_transfer&& message)
     {
-        // Each new offer of a request goes to another peer than the one before.
-        const size_t rank = placedTransfers++ % transferRanks;
+        // A repeated offer of a request goes to another peer than the previous one.
+        const size_t rank = offeredTransfers++ % transferRanks;
         Common::node_id peer = choosePeer(state.members, settings.self.id, message.item.request.value, rank);
         if (peer.value.empty())
             peer = choosePeer(state.members, settings.self.id, message.item.request.value, 0);
@@ -237,7 +238,7 @@
         sendTo(peer, outgoing);
     }
 
-    void take(confirm_transfer&& message)
+    void handle(confirm_transfer&& message)
     {
         envelope outgoing;
         outgoing.mutable_handover_reply()->set_request(message.request.value);
@@ -245,20 +246,20 @@
         sendTo(message.peer, outgoing);
     }
 
-    void take(find_holder&& message)
+    void handle(find_holder&& message)
     {
         envelope outgoing;
         outgoing.mutable_request_query()->set_request(message.request.value);
-        const Common::node_id home { Common::split(message.request.value, '.').front() };
-        sendTo(home, outgoing);
+        const Common::node_id originNode { Common::split(message.request.value, '.').front() };
+        sendTo(originNode, outgoing);
         for (size_t rank = 0; rank < holderCandidates; ++rank) {
             const Common::node_id peer = choosePeer(state.members, settings.self.id, message.request.value, rank);
-            if (!peer.value.empty() && peer != home)
+            if (!peer.value.empty() && peer != originNode)
                 sendTo(peer, outgoing);
         }
     }
 
-    void take(confirm_holder&& message)
+    void handle(confirm_holder&& message)
     {
         envelope outgoing;
         outgoing.mutable_request_location()->set_request(message.request.value);
@@ -266,31 +267,31 @@
         sendTo(message.peer, outgoing);
     }
 
-    // What the peers say.
+    // Messages from peers.
 
-    void hearChanges(const filbertreel::peer::configuration_changes& body)
+    void handleChanges(const filbertreel::peer::configuration_changes& body)
     {
         if (auto snapshot = decodeSnapshot(body))
             outlets.tellConfiguration(std::move(*snapshot));
-        Configuration::peer_changes heard = decodeChanges(body);
-        if (!heard.changes.empty())
-            outlets.tellConfiguration(std::move(heard));
+        Configuration::peer_changes received = decodeChanges(body);
+        if (!received.changes.empty())
+            outlets.tellConfiguration(std::move(received));
     }
 
-    void hearLoads(const filbertreel::peer::load_digest& body)
+    void handleLoads(const filbertreel::peer::load_digest& body)
     {
-        for (Endpoints::load_heard& heard : decodeLoads(body))
-            outlets.tellEndpoints(std::move(heard));
+        for (Endpoints::load_heard& received : decodeLoads(body))
+            outlets.tellEndpoints(std::move(received));
     }
 
-    void hearInstances(const filbertreel::peer::instances_seen& body)
+    void handleInstances(const filbertreel::peer::instances_seen& body)
     {
         auto instances = Endpoints::parseInstances(body.list_json());
         if (instances)
             outlets.tellEndpoints(Endpoints::instances_heard { std::move(*instances) });
     }
 
-    void hear(const envelope& message)
+    void handleEnvelope(const envelope& message)
     {
         const Common::node_id sender { message.sender() };
         switch (message.body_case()) {
@@ -300,9 +301,9 @@
         case envelope::kMemberFacts:
             return step(decodeFacts(message));
         case envelope::kMemberPull:
-            return step(pull_heard { message.sender_address() });
+            return step(pull_requested { message.sender_address() });
         case envelope::kConfigurationChanges:
-            return hearChanges(message.configuration_changes());
+            return handleChanges(message.configuration_changes());
         case envelope::kConfigurationPull:
             return outlets.tellConfiguration(Configuration::peer_pull { sender, { message.configuration_pull().after_version() } });
         case envelope::kEndpointLeaving:
@@ -310,13 +311,13 @@
                 return outlets.startLeavingHeard({ message.endpoint_leaving().endpoint() }, message.endpoint_leaving().started_ms());
             return outlets.tellEndpoints(Endpoints::leaving_notice { { message.endpoint_leaving().endpoint() }, Endpoints::leaving_source::Peer });
         case envelope::kLoadDigest:
-            return hearLoads(message.load_digest());
+            return handleLoads(message.load_digest());
         case envelope::kRolloutEvidence:
             return outlets.tellRollout(decodeEvidence(sender, message.rollout_evidence()));
         case envelope::kRolloutLatch:
             return outlets.tellRollout(Rollout::peer_latch { { message.rollout_latch().service(), { message.rollout_latch().version() } }, message.rollout_latch().cause() });
         case envelope::kInstancesSeen:
-            return hearInstances(message.instances_seen());
+            return handleInstances(message.instances_seen());
         case envelope::kRequestHandover:
             return outlets.tellDispatch(Dispatch::transfer_offered { sender, decodeTransfer(message.request_handover()) });
         case envelope::kHandoverReply:
@@ -345,19 +346,19 @@
             Common::countMetric("filbertreel_peer_messages_received_total");
             envelope message;
             if (message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
-                hear(message);
+                handleEnvelope(message);
             else
                 Common::countMetric("filbertreel_peer_messages_unreadable_total");
         }
     }
 
-    void takeAll(std::vector<peer_message>& batch)
+    void handleInbox(std::vector<peer_message>& batch)
     {
         uint64_t wakes = 0;
         static_cast<void>(!read(wakeHandle, &wakes, sizeof(wakes)));
         inbox.drainInto(batch);
         for (peer_message& message : batch)
-            std::visit([this](auto& item) { take(std::move(item)); }, message);
+            std::visit([this](auto& item) { handle(std::move(item)); }, message);
     }
 };
 
@@ -400,7 +401,7 @@
         };
         zmq::poll(items.data(), items.size(), tickInterval);
         self.receiveAll(listener);
-        self.takeAll(batch);
+        self.handleInbox(batch);
         if (std::chrono::steady_clock::now() < nextTick)
             continue;
         nextTick = std::chrono::steady_clock::now() + tickInterval;
--- a/Source/Core/Membership/PeerDuty.h
+++ b/Source/Core/Membership/PeerDuty.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The peer duty: the thread that runs the membership decisions and speaks to the other entry nodes over ZeroMQ.
+/// The peer duty: a thread that maintains the membership and exchanges messages with the other entry nodes over ZeroMQ.
 
 #include "Common/Ring.h"
 #include "Configuration/VersionChain.h"
@@ -18,83 +18,83 @@
 
 namespace Membership {
 
-/// Give changes of the configuration to all linked peers.
+/// Send changes of the configuration to some of the linked peers, which forward them.
 struct push_changes {
     std::vector<Configuration::change> changes;
 };
 
-/// Ask a linked peer for changes.
+/// Request the changes after a version from one linked peer.
 struct pull_changes {
     Common::config_version after;
 };
 
-/// Answer a peer that asked for changes.
+/// Reply to a peer that requested changes.
 struct give_changes {
     Configuration::answer_peer reply;
 };
 
-/// Tell the linked peers that an endpoint leaves.
+/// Notify the linked peers that an endpoint is leaving.
 struct push_leaving {
     Common::endpoint_id endpoint;
-    int64_t startedMs { 0 }; ///< Unix time of the endpoint's start; zero when starts are not told apart.
+    int64_t startedMs { 0 }; ///< Unix time of the endpoint's start; zero if starts aren't distinguished.
 };
 
-/// Tell all peers what this node has granted to client accounts, and what it was asked for.
+/// Send all peers this node's grants to client accounts and the demand that it received.
 struct push_grants {
     Quota::node_report report;
     Scaling::node_demand demand;
 };
 
-/// Ask a peer for the operators' catalog.
+/// Request the operators' catalog from one linked peer, if it has a later version.
 struct pull_catalog {
-    uint64_t after { 0 };
+    uint64_t after { 0 }; ///< The catalog version that this node has.
 };
 
-/// Give a peer the operators' catalog in the platform's form.
+/// Send a peer the operators' catalog as the platform's text.
 struct give_catalog {
     Common::node_id peer;
     uint64_t version { 0 };
     std::string text;
 };
 
-/// Tell the linked peers of instances that are new on the cloud's list.
+/// Send the linked peers the instances that are new on the cloud's list.
 struct push_instances {
     std::vector<Endpoints::instance_info> instances;
 };
 
-/// Give a peer the load of endpoints that it routes to.
+/// Send a peer the load of endpoints that it routes to.
 struct give_loads {
     Common::node_id peer;
     std::vector<Endpoints::load_report> reports;
 };
 
-/// Give all peers this node's evidence on a rollout.
+/// Send all peers this node's evidence on a rollout.
 struct push_evidence {
     Rollout::tell_evidence evidence;
 };
 
-/// Tell the linked peers that a version is bad.
+/// Notify the linked peers that a version of a service was found bad.
 struct push_latch {
     Rollout::tell_latch latch;
 };
 
-/// Find a peer that takes over a request.
+/// Offer a request to a peer, which may take it over.
 struct place_transfer {
     Dispatch::request_transfer item;
 };
 
-/// Tell a leaving peer that its request is taken.
+/// Confirm to a leaving peer that this node has taken over a request.
 struct confirm_transfer {
     Common::node_id peer;
     Common::request_id request;
 };
 
-/// Ask the peers that may hold a request.
+/// Ask the peers that may hold a request whether they do.
 struct find_holder {
     Common::request_id request;
 };
 
-/// Tell a peer that the request it looks for is here.
+/// Reply to a peer's find_holder that this node holds the request.
 struct confirm_holder {
     Common::node_id peer;
     Common::request_id request;
@@ -103,17 +103,20 @@
 using peer_message = std::variant<seeds_known, configuration_moved, leave_begun, push_changes, pull_changes, give_changes,
     push_leaving, push_instances, give_loads, push_evidence, push_latch, place_transfer, confirm_transfer, find_holder, confirm_holder, push_grants, pull_catalog, give_catalog>;
 
-/// Where the duty's actions go. None of them blocks.
+/// Callbacks for what the duty receives and finds. They run on the duty's thread and must not block.
 struct peer_outlets {
     std::function<void(const member_map&)> publishMembers;
     std::function<void(Configuration::chain_message&&)> tellConfiguration;
     std::function<void(Endpoints::table_message&&)> tellEndpoints;
     std::function<void(Rollout::rollout_message&&)> tellRollout;
     std::function<void(Dispatch::dispatch_message&&)> tellDispatch;
+    /// A peer replied to find_holder that it holds the request.
     std::function<void(const Common::request_id&, const std::string& httpAddress)> located;
     std::function<void(Quota::node_report&&)> grantsHeard;
     std::function<void(Scaling::node_demand&&)> demandHeard;
+    /// An endpoint is leaving that was started at the given Unix time in milliseconds.
     std::function<void(const Common::endpoint_id&, int64_t startedMs)> startLeavingHeard;
+    /// A peer requests the catalog if it is later than the given version.
     std::function<void(const Common::node_id& peer, uint64_t after)> catalogAsked;
     std::function<void(uint64_t version, std::string&& text)> catalogHeard;
 };
@@ -121,11 +124,12 @@
 struct peer_settings {
     member self;
     std::string listenAddress; ///< IP number and port that the socket binds.
-    std::vector<std::string> seeds;
-    uint64_t seed { 1 };
+    std::vector<std::string> seeds; ///< Peer addresses that are probed while this node has no links.
+    uint64_t seed { 1 }; ///< Of the random source.
     membership_settings membership;
 };
 
+/// Owns the sockets and the member table, which only run() uses. submit() and stop() may be called from any thread.
 class peer_duty {
 public:
     peer_duty(peer_settings settings, peer_outlets outlets);
@@ -133,10 +137,10 @@
     peer_duty(const peer_duty&) = delete;
     peer_duty& operator=(const peer_duty&) = delete;
 
-    /// Hands a message over; may be called from any thread.
-    /// @return whether the ring took it.
+    /// Queues a message for the duty's thread.
+    /// @return false if the inbox ring is full; the message is dropped then.
     bool submit(peer_message&& message);
-    /// Serves until stop(). Throws std::exception when the address can't be bound.
+    /// Runs the duty on the calling thread until stop(). Throws std::exception if the address can't be bound.
     void run();
     void stop();
 
--- a/Source/Core/Membership/PeerSockets.cpp
+++ b/Source/Core/Membership/PeerSockets.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-    constexpr int messagesPerPeer = 256;
-    constexpr std::chrono::seconds idleSocketPeriod { 30 };
-    /// A connection that fell silent without a reset is replaced after the longer of these.
+    constexpr int maxQueuedMessagesPerPeer = 256;
+    constexpr std::chrono::seconds idleSocketTimeout { 30 };
+    // A connection that fails without a TCP reset is detected by missing heartbeats and replaced after the timeout.
     constexpr int heartbeatMilliseconds = 1000;
     constexpr int heartbeatTimeoutMilliseconds = 2500;
 
@@ -21,7 +21,7 @@
         return found->second;
     zmq::socket_t socket(m_context, zmq::socket_type::push);
     socket.set(zmq::sockopt::linger, 0);
-    socket.set(zmq::sockopt::sndhwm, messagesPerPeer);
+    socket.set(zmq::sockopt::sndhwm, maxQueuedMessagesPerPeer);
     socket.set(zmq::sockopt::heartbeat_ivl, heartbeatMilliseconds);
     socket.set(zmq::sockopt::heartbeat_timeout, heartbeatTimeoutMilliseconds);
     socket.connect("tcp://" + address);
@@ -42,7 +42,7 @@
 
 void peer_sockets::closeIdle(Common::instant now)
 {
-    std::erase_if(m_sockets, [now](const auto& entry) { return now - entry.second.lastUsed >= idleSocketPeriod; });
+    std::erase_if(m_sockets, [now](const auto& entry) { return now - entry.second.lastUsed >= idleSocketTimeout; });
 }
 
 } // namespace Membership
--- a/Source/Core/Membership/PeerSockets.h
+++ b/Source/Core/Membership/PeerSockets.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The ZeroMQ sockets of a node to its peers, opened when first used and closed when idle.
+/// ZeroMQ push sockets to a node's peers, opened on first use and closed when idle.
 
 #include "Common/Ids.h"
 
@@ -12,21 +12,22 @@
 
 namespace Membership {
 
+/// Not thread-safe: used by the thread of the peer duty alone.
 class peer_sockets {
 public:
     /// @return the context that the node's own listening socket shares.
     zmq::context_t& context() { return m_context; }
 
-    /// Sends without waiting; a message for a peer whose queue is full is dropped and counted.
+    /// Sends without blocking; if the peer's queue is full, the message is dropped and counted in a metric.
     /// @param address IP number and port of the peer.
     /// @param bytes one serialized envelope.
-    /// @param now the present time.
+    /// @param now the current time.
     void send(const std::string& address, const std::string& bytes, Common::instant now);
 
-    /// Closes what has not been used for a while.
+    /// Closes the sockets whose last message was too long ago, such as those to nodes that have left.
+    /// @param now the current time.
     void closeIdle(Common::instant now);
 
-    /// Closes all sockets.
     void closeAll() { m_sockets.clear(); }
 
 private:
--- a/Source/Core/Membership/Tests/MembersTest.cpp
+++ b/Source/Core/Membership/Tests/MembersTest.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Membership: overlay, suspicion, refutation, leaving, own pauses.
+/// Membership: overlay links, suspicion and refutation, leaving, pauses of this node.
 
 #include "Membership/Members.h"
 
@@ -45,7 +45,7 @@
     return found;
 }
 
-/// Ticks every 200 ms, so that the node itself is never paused.
+/// Ticks every 200 ms, so that no gap counts as a pause of this node.
 void tickFor(membership_state& state, milliseconds from, milliseconds until)
 {
     constexpr milliseconds tick { 200 };
@@ -57,12 +57,12 @@
 
 TEST_GROUP(Members) {};
 
-TEST(Members, LinksGrowWithTheLogarithmAndReachEverybody)
+TEST(Members, LinksGrowLogarithmicallyAndReachAllNodes)
 {
     struct row {
         size_t nodes;
-        size_t mostLinks;
-        size_t mostHops;
+        size_t maxLinks;
+        size_t maxHops;
     };
     const row rows[] = { { 1, 0, 0 }, { 2, 1, 1 }, { 7, 3, 3 }, { 50, 6, 6 }, { 400, 9, 9 } };
     for (const row& item : rows) {
@@ -74,11 +74,11 @@
         std::set<Common::node_id> reached { { "n0" } };
         std::set<Common::node_id> frontier = reached;
         size_t hops = 0;
-        while (reached.size() < item.nodes && hops <= item.mostHops) {
+        while (reached.size() < item.nodes && hops <= item.maxHops) {
             std::set<Common::node_id> next;
             for (const Common::node_id& id : frontier) {
                 const auto links = chooseLinks(id, members);
-                CHECK(links.size() <= item.mostLinks);
+                CHECK(links.size() <= item.maxLinks);
                 next.insert(links.begin(), links.end());
             }
             reached.insert(next.begin(), next.end());
@@ -86,16 +86,16 @@
             ++hops;
         }
         LONGS_EQUAL(item.nodes, reached.size());
-        CHECK(hops <= item.mostHops);
+        CHECK(hops <= item.maxHops);
     }
 }
 
-TEST(Members, PushLinksAreFewAndStillReachEverybody)
+TEST(Members, PushLinksAreFewAndReachAllNodes)
 {
     struct row {
         size_t nodes;
-        size_t mostLinks;
-        size_t mostHops;
+        size_t maxLinks;
+        size_t maxHops;
     };
     const row rows[] = { { 7, 3, 3 }, { 50, 2, 16 }, { 400, 3, 24 } };
     for (const row& item : rows) {
@@ -106,11 +106,11 @@
         }
         std::set<Common::node_id> reached { { "n0" } };
         size_t hops = 0;
-        while (reached.size() < item.nodes && hops < item.mostHops) {
+        while (reached.size() < item.nodes && hops < item.maxHops) {
             std::set<Common::node_id> next = reached;
             for (const Common::node_id& id : reached) {
                 const auto links = choosePushLinks(id, members);
-                CHECK(links.size() <= item.mostLinks);
+                CHECK(links.size() <= item.maxLinks);
                 next.insert(links.begin(), links.end());
             }
             reached = next;
@@ -120,7 +120,7 @@
     }
 }
 
-TEST(Members, ALargeFleetIsProbedMoreSlowlyAndSuspectedLater)
+TEST(Members, MembersOfALargeFleetAreProbedLessOften)
 {
     struct row {
         size_t peers;
@@ -136,13 +136,13 @@
     }
 }
 
-TEST(Members, TheLaterStateOfAnIncarnationWins)
+TEST(Members, HigherIncarnationOrLaterStatusOfTheSameIncarnationWins)
 {
     struct row {
         member_status known;
         uint64_t knownIncarnation;
-        member_status heard;
-        uint64_t heardIncarnation;
+        member_status received;
+        uint64_t receivedIncarnation;
         member_status expected;
     };
     const row rows[] = {
@@ -157,12 +157,12 @@
         membership_state state;
         state.self = makeMember("self");
         stepMembership(state, facts_heard { { "x" }, { makeMember("peer", item.known, item.knownIncarnation) } }, testStart);
-        stepMembership(state, facts_heard { { "x" }, { makeMember("peer", item.heard, item.heardIncarnation) } }, testStart);
+        stepMembership(state, facts_heard { { "x" }, { makeMember("peer", item.received, item.receivedIncarnation) } }, testStart);
         CHECK(item.expected == state.members.at({ "peer" }).status);
     }
 }
 
-TEST(Members, ASilentPeerIsSuspectedThenDeadAndNeverAtOnce)
+TEST(Members, SilentPeerIsSuspectedBeforeItIsDeclaredDead)
 {
     membership_state state = makeState(1);
     tickFor(state, milliseconds(0), milliseconds(3000));
@@ -173,7 +173,7 @@
     CHECK(member_status::Dead == state.members.at({ "peer0" }).status);
 }
 
-TEST(Members, ANodeThatWasPausedAccusesNobody)
+TEST(Members, PausedNodeSuspectsNobodyAfterItsPause)
 {
     membership_state state = makeState(3);
     tickFor(state, milliseconds(0), milliseconds(1000));
@@ -182,36 +182,36 @@
         CHECK(member_status::Alive == item.status);
 }
 
-TEST(Members, ARumourOfOnesOwnDeathIsRefuted)
+TEST(Members, ClaimThatThisNodeIsSuspectOrDeadIsRefuted)
 {
     struct row {
-        member_status rumour;
+        member_status claim;
         bool isRefuted;
     };
     const row rows[] = { { member_status::Dead, true }, { member_status::Suspect, true }, { member_status::Alive, false } };
     for (const row& item : rows) {
         membership_state state = makeState(2);
-        const auto actions = stepMembership(state, facts_heard { { "peer0" }, { makeMember("self", item.rumour) } }, testStart);
+        const auto actions = stepMembership(state, facts_heard { { "peer0" }, { makeMember("self", item.claim) } }, testStart);
         LONGS_EQUAL(item.isRefuted ? 2 : 1, state.self.incarnation.value);
         CHECK_EQUAL(item.isRefuted, count<send_facts>(actions) > 0);
     }
 }
 
-TEST(Members, AFactIsPassedOnOnceAndNotBack)
+TEST(Members, FactIsForwardedOnceAndNotToItsSender)
 {
     membership_state state = makeState(2);
-    const member fresh = makeMember("newcomer");
-    const auto first = stepMembership(state, facts_heard { { "peer0" }, { fresh } }, testStart);
+    const member joined = makeMember("newcomer");
+    const auto first = stepMembership(state, facts_heard { { "peer0" }, { joined } }, testStart);
     CHECK(count<send_facts>(first) >= 1);
     for (const membership_action& action : first) {
         if (const auto* sent = std::get_if<send_facts>(&action))
             CHECK(sent->address != "peer0-address");
     }
-    const auto second = stepMembership(state, facts_heard { { "peer1" }, { fresh } }, testStart);
+    const auto second = stepMembership(state, facts_heard { { "peer1" }, { joined } }, testStart);
     LONGS_EQUAL(0, count<send_facts>(second));
 }
 
-TEST(Members, ANodeDeclaredDeadLearnsItFromTheReplyToItsProbe)
+TEST(Members, ProbeFromANodeDeclaredDeadIsAnsweredWithTheMemberTable)
 {
     membership_state state = makeState(2);
     stepMembership(state, facts_heard { { "peer1" }, { makeMember("peer0", member_status::Dead) } }, testStart);
@@ -223,7 +223,7 @@
     LONGS_EQUAL(1, count<send_facts>(actions));
 }
 
-TEST(Members, TheDeadAreProbedNowAndThenSoThatAHealedCutIsNoticed)
+TEST(Members, DeadMemberIsProbedSoThatTheEndOfAPartitionIsDetected)
 {
     membership_state state = makeState(1);
     stepMembership(state, facts_heard { { "x" }, { makeMember("peer0", member_status::Dead) } }, testStart);
@@ -231,7 +231,7 @@
     LONGS_EQUAL(1, count<send_probe>(actions));
 }
 
-TEST(Members, ALeavingNodeIsNoLongerChosen)
+TEST(Members, LeavingNodeIsNotChosenAsPeer)
 {
     member_map members;
     for (const char* name : { "a", "b", "c" })
--- a/scripts/mutations.py
+++ b/scripts/mutations.py
@@ -66,7 +66,7 @@
      "        output.push_back(std::move(reply));", "        static_cast<void>(reply);",
      ["Tests/Promises/PromisesConfiguration", "-n", "ANodeStartedInAnOutageLearnsFromItsPeers"]),
     ("refuting one's own death", "Source/Core/Membership/Members.cpp",
-     "        state.self.incarnation = { rumour.incarnation.value + 1 };\n        return true;", "        return false;",
+     "        state.self.incarnation = { claim.incarnation.value + 1 };\n        return true;", "        return false;",
      ["Tests/Promises/PromisesNodes", "-n", "AFrozenNodeDeclaredDeadComesBackByItself"]),
     ("forgiving one's own pause", "Source/Core/Membership/Members.cpp",
      "        if (!wasPaused)\n            return;", "        return;",
