--- a/Source/Core/Control/ControlDuty.cpp
+++ b/Source/Core/Control/ControlDuty.cpp
@@ -190,7 +190,7 @@
         if (change.kind == Fleet::change_kind::BeganLeaving)
             outlets.tellPeersLeaving(change.item);
         if (change.kind != Fleet::change_kind::Appeared)
-            Scaling::noteLoss(orders.orders, { change.item.service, change.item.zone, change.item.isReclaimable }, Common::bootClockNow());
+            Scaling::recordEndpointLoss(orders.orders, { change.item.service, change.item.zone, change.item.isReclaimable }, Common::bootClockNow());
     }
 
     void nodeRowsChanged()
@@ -246,7 +246,7 @@
         wasHolder = context.lease.isHeld;
         // While another node held it, orders and reports may have gone out.
         if (context.lease.isHeld) {
-            Scaling::forgetOrders(orders.orders);
+            Scaling::clearOrders(orders.orders);
             resetReporter(usage.reporter);
         }
         Common::logEvent(Common::log_level::Info, context.lease.isHeld ? "lease_taken" : "lease_lost", { { "fence", context.lease.fence.value } });
@@ -269,12 +269,12 @@
     {
         for (Usage::begun_request& item : message.report.begun)
             usage.unplaced.push_back(std::move(item));
-        Scaling::noteDemand(orders.demand, message.report.demand, Common::bootClockNow());
+        Scaling::recordDemand(orders.demand, message.report.demand, Common::bootClockNow());
     }
 
     void take(demand_heard&& message)
     {
-        Scaling::noteDemand(orders.demand, message.demand, Common::bootClockNow());
+        Scaling::recordDemand(orders.demand, message.demand, Common::bootClockNow());
     }
 
     void take(leaving_heard&& message)
--- a/Source/Core/Control/EndpointOrders.cpp
+++ b/Source/Core/Control/EndpointOrders.cpp
@@ -15,8 +15,8 @@
     void logPlan(const endpoint_orders& item, Common::instant now)
     {
         nlohmann::json numbers = nlohmann::json::object();
-        for (const auto& [subject, count] : item.memory.wanted)
-            numbers[subject.zone.value + (subject.isReclaimable ? "/reclaimable" : "/plain")] = count;
+        for (const auto& [target, count] : item.memory.wanted)
+            numbers[target.zone.value + (target.isReclaimable ? "/reclaimable" : "/plain")] = count;
         nlohmann::json busy = nlohmann::json::object();
         for (const auto& [name, nodes] : item.demand.services) {
             for (const auto& [zone, level] : Scaling::demandByZone(item.demand, name, now))
@@ -41,7 +41,7 @@
         // An order of unknown fate may be carried out later: the next one needs a higher token to prevail.
         if (outcome == Scaling::order_outcome::Fenced || outcome == Scaling::order_outcome::Unknown)
             Lease::raiseFence(item.context.lease, Common::bootClockNow());
-        Scaling::takeOutcome(item.orders, outcome, Common::bootClockNow());
+        Scaling::applyOutcome(item.orders, outcome, Common::bootClockNow());
     }
 
 } // namespace
--- a/Source/Core/Control/EndpointOrders.h
+++ b/Source/Core/Control/EndpointOrders.h
@@ -10,9 +10,9 @@
 
 struct endpoint_orders {
     control_context& context;
-    Scaling::demand_book demand {};
-    Scaling::plan_memory memory {};
-    Scaling::order_book orders {};
+    Scaling::demand_tracker demand {};
+    Scaling::plan_state memory {};
+    Scaling::order_tracker orders {};
     Common::instant nextPlan {};
 };
 
--- a/Source/Core/Scaling/Demand.cpp
+++ b/Source/Core/Scaling/Demand.cpp
@@ -7,11 +7,13 @@
 
 namespace {
 
-    /// Single requests are large: only an average over some seconds tells the demand from its noise. Both directions
-    /// count alike, since an estimate that rises faster than it falls lies above the demand at all times.
+    /// Time constant of the average. Single requests are large, so only an average over several seconds filters out the
+    /// noise. Increases and decreases have the same weight: an estimate that rises faster than it falls would always be
+    /// too high.
     constexpr milliseconds averagingTime { 3000 };
-    /// Callers of a silent node have found another one by then, which reports their demand.
-    constexpr milliseconds silenceLimit { 2500 };
+    /// Reports older than this are ignored. By then the callers of a failed node have moved to other nodes, which
+    /// report their demand.
+    constexpr milliseconds reportLifetime { 2500 };
 
     double toMs(Common::duration time)
     {
@@ -26,31 +28,31 @@
 
 } // namespace
 
-void noteDemand(demand_book& book, const node_demand& heard, Common::instant now)
+void recordDemand(demand_tracker& tracker, const node_demand& report, Common::instant now)
 {
-    for (const auto& [service, engineMs] : heard.engineMs) {
-        smoothed_demand& item = book.services[service][heard.node];
-        item.zone = heard.zone;
-        item.heardAt = now;
-        smooth(item, engineMs / std::max(1.0, toMs(heard.interval)), heard.interval);
+    for (const auto& [service, engineMs] : report.engineMs) {
+        smoothed_demand& item = tracker.services[service][report.node];
+        item.zone = report.zone;
+        item.receivedAt = now;
+        smooth(item, engineMs / std::max(1.0, toMs(report.interval)), report.interval);
     }
-    for (auto& [service, nodes] : book.services) {
-        const auto known = nodes.find(heard.node);
-        if (known == nodes.end() || heard.engineMs.contains(service))
+    for (auto& [service, nodes] : tracker.services) {
+        const auto known = nodes.find(report.node);
+        if (known == nodes.end() || report.engineMs.contains(service))
             continue;
-        known->second.heardAt = now;
-        smooth(known->second, 0, heard.interval);
+        known->second.receivedAt = now;
+        smooth(known->second, 0, report.interval);
     }
 }
 
-std::map<Common::zone_name, busy_engines> demandByZone(const demand_book& book, const Common::service_name& service, Common::instant now)
+std::map<Common::zone_name, busy_engines> demandByZone(const demand_tracker& tracker, const Common::service_name& service, Common::instant now)
 {
     std::map<Common::zone_name, busy_engines> zones;
-    const auto found = book.services.find(service);
-    if (found == book.services.end())
+    const auto found = tracker.services.find(service);
+    if (found == tracker.services.end())
         return zones;
     for (const auto& [node, item] : found->second) {
-        if (now - item.heardAt <= silenceLimit)
+        if (now - item.receivedAt <= reportLifetime)
             zones[item.zone].value += item.level;
     }
     return zones;
--- a/Source/Core/Scaling/Demand.h
+++ b/Source/Core/Scaling/Demand.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// How much of an endpoint's time callers ask for, by service and availability zone. Pure: no clock, no socket.
+/// Demand for endpoint time by service and availability zone. Pure: no clock, no socket.
 
 #include "Common/Ids.h"
 
@@ -12,35 +12,36 @@
 
 using std::chrono::milliseconds;
 
-/// Engines kept busy: one means one engine all of the time.
+/// Demand as a number of engines: 1 keeps one engine busy all of the time.
 using busy_engines = Common::strong_type<struct busy_engines_tag, double>;
 
-/// What one node was asked for in one interval.
+/// Demand that one node reports for one interval.
 struct node_demand {
     Common::node_id node;
     Common::zone_name zone;
-    std::map<Common::service_name, double> engineMs; ///< Endpoint time that the work of the interval takes.
+    std::map<Common::service_name, double> engineMs; ///< Endpoint time for the requests of the interval.
     milliseconds interval { 250 };
 };
 
-/// Demand of one service at one node, smoothed.
+/// Smoothed demand for one service at one node.
 struct smoothed_demand {
-    double level { 0 }; ///< Average over the last seconds.
-    Common::instant heardAt;
+    double level { 0 }; ///< Exponential moving average, in busy engines.
+    Common::instant receivedAt;
     Common::zone_name zone;
 };
 
-struct demand_book {
+struct demand_tracker {
     std::map<Common::service_name, std::map<Common::node_id, smoothed_demand>> services;
 };
 
-/// Takes the demand of a node in.
-void noteDemand(demand_book& book, const node_demand& heard, Common::instant now);
+/// Adds a node's report to its averages. Services missing from the report count as zero demand.
+void recordDemand(demand_tracker& tracker, const node_demand& report, Common::instant now);
 
-/// @param book what was heard.
-/// @param service a service.
-/// @param now the present time.
-/// @return the demand by zone; a node that fell silent counts for a while, as its callers go to others.
-std::map<Common::zone_name, busy_engines> demandByZone(const demand_book& book, const Common::service_name& service, Common::instant now);
+/// @param tracker reports of all nodes.
+/// @param service the service to sum up.
+/// @param now current time.
+/// @return the demand by zone. A node that stops reporting is counted for a short time, until its callers have moved to
+/// other nodes.
+std::map<Common::zone_name, busy_engines> demandByZone(const demand_tracker& tracker, const Common::service_name& service, Common::instant now);
 
 } // namespace Scaling
--- a/Source/Core/Scaling/Order.h
+++ b/Source/Core/Scaling/Order.h
@@ -1,13 +1,14 @@
 #pragma once
 
 /// @file
-/// Orders of endpoints to the cloud.
+/// Orders for endpoints, sent to the cloud.
 
 #include "Common/Ids.h"
 
 namespace Scaling {
 
-/// So many endpoints of a service in an availability zone. Each kind is ordered by itself.
+/// Desired number of endpoints of a service in an availability zone. Reclaimable and plain endpoints are ordered
+/// separately.
 struct order {
     Common::service_name service;
     Common::zone_name zone;
@@ -15,7 +16,7 @@
     uint32_t desired { 0 };
 };
 
-/// Who gives an order, and the fencing token that proves it.
+/// Issuer of an order, and the fencing token of its lease.
 struct order_giver {
     Common::node_id node;
     uint64_t fence { 0 };
@@ -23,10 +24,10 @@
 
 enum class order_outcome {
     Done,
-    Fenced, ///< A newer fencing token was seen.
-    NoneAvailable, ///< Nothing to be had there now.
-    Refused, ///< Not carried out: rate or outage.
-    Unknown, ///< No answer: it may be carried out later.
+    Fenced, ///< The cloud has already seen a newer fencing token.
+    NoneAvailable, ///< The zone has no capacity at the moment.
+    Refused, ///< Not executed: rate limit or outage.
+    Unknown, ///< No answer: the order may still be executed later.
 };
 
 } // namespace Scaling
--- a/Source/Core/Scaling/Plan.cpp
+++ b/Source/Core/Scaling/Plan.cpp
@@ -7,30 +7,31 @@
 
 namespace {
 
-    /// Part of an engine's time that work may fill; the rest keeps waiting times short.
-    constexpr double usablePart = 0.75;
-    /// Reclaimable endpoints that are ordered for each one needed, so that one zone may go.
+    /// Share of an engine's time that requests may use; the rest keeps queueing times short.
+    constexpr double targetUtilization = 0.75;
+    /// Reclaimable endpoints ordered for each one needed, to survive the loss of one zone.
     constexpr double reclaimableFactor = 1.5;
-    /// While no demand is known, the endpoints present are taken to be this busy.
-    constexpr double assumedBusyPart = 0.4;
-    constexpr milliseconds retryPause { 500 };
-    /// A confirmed number is ordered again after this time, should it have been lost.
-    constexpr milliseconds renewPause { 20000 };
-    /// Less is ordered only when less would have done for so long.
-    constexpr milliseconds fallDelay { 6000 };
+    /// Utilization assumed for the initial endpoints while no demand is known.
+    constexpr double assumedUtilization = 0.4;
+    constexpr milliseconds retryDelay { 500 };
+    /// A confirmed order is repeated at this interval, in case the cloud lost it.
+    constexpr milliseconds repeatInterval { 20000 };
+    /// The count is lowered only after the lower count has been sufficient for this long.
+    constexpr milliseconds decreaseDelay { 6000 };
 
-    /// None was to be had: it is asked for again after this time.
-    constexpr milliseconds exhaustedPause { 2000 };
-    constexpr milliseconds exhaustedMemory { 3000 };
+    /// Time until a zone without capacity is asked again.
+    constexpr milliseconds exhaustedRetryDelay { 2000 };
+    /// Time for which a zone counts as exhausted. Longer than the retry delay, so that it lasts until the next answer.
+    constexpr milliseconds exhaustedDuration { 3000 };
 
     struct zone_need {
         Common::zone_name zone;
         double needed { 0 }; ///< Endpoints.
         double price { 1 };
         uint32_t supplied { 0 }; ///< Reclaimable endpoints that take work now.
-        uint32_t reclaimable { 0 }; ///< Wanted.
-        uint32_t plain { 0 }; ///< Wanted.
-        uint32_t plainRoom { 0 };
+        uint32_t reclaimable { 0 }; ///< Reclaimable endpoints wanted.
+        uint32_t plain { 0 }; ///< Plain endpoints wanted.
+        uint32_t maxPlain { 0 }; ///< Maximum of `plain`.
     };
 
     double totalOf(const std::vector<zone_need>& zones)
@@ -41,36 +42,36 @@
         return total;
     }
 
-    double busyOf(const plan_input& input, const Common::zone_name& zone, size_t zones)
+    double busyEnginesOf(const plan_input& input, const Common::zone_name& zone, size_t zones)
     {
         if (input.demand.empty())
-            return assumedBusyPart * input.startingCount / static_cast<double>(std::max<size_t>(1, zones));
+            return assumedUtilization * input.initialCount / static_cast<double>(std::max<size_t>(1, zones));
         const auto known = input.demand.find(zone);
         return known == input.demand.end() ? 0 : known->second.value;
     }
 
-    std::vector<zone_need> needByZone(const Catalog::service& item, const plan_input& input)
+    std::vector<zone_need> needsByZone(const Catalog::service& service, const plan_input& input)
     {
-        const Catalog::scaling_bounds& bounds = *item.scaling;
+        const Catalog::scaling_bounds& bounds = *service.scaling;
         std::vector<zone_need> needs;
         for (const auto& [zone, price] : bounds.zonePrices) {
             zone_need need;
             need.zone = zone;
             need.price = price;
-            need.needed = busyOf(input, zone, bounds.zonePrices.size()) / usablePart;
+            need.needed = busyEnginesOf(input, zone, bounds.zonePrices.size()) / targetUtilization;
             const auto supply = input.supply.find(zone);
             need.supplied = supply == input.supply.end() ? 0 : supply->second.reclaimable;
             const auto wanted = static_cast<uint32_t>(std::ceil(reclaimableFactor * need.needed));
             need.reclaimable = std::clamp(wanted, std::max(1U, bounds.least), bounds.most);
-            // What can't be had leaves its room to plain endpoints.
-            const uint32_t held = input.exhausted.contains(zone) ? std::min(need.supplied, need.reclaimable) : need.reclaimable;
-            need.plainRoom = bounds.most - held;
+            // In an exhausted zone, plain endpoints may use the capacity of reclaimable ones that are not available.
+            const uint32_t expectedReclaimable = input.exhausted.contains(zone) ? std::min(need.supplied, need.reclaimable) : need.reclaimable;
+            need.maxPlain = bounds.most - expectedReclaimable;
             needs.push_back(need);
         }
         return needs;
     }
 
-    /// What is left of the supply that can be reclaimed once the zone with most of it goes.
+    /// @return reclaimable endpoints that remain after losing the zone that has most of them.
     double reclaimableAfterLoss(const std::vector<zone_need>& needs)
     {
         uint32_t total = 0;
@@ -82,28 +83,28 @@
         return total - most;
     }
 
-    zone_need* findMostLacking(std::vector<zone_need>& needs)
+    zone_need* findLargestShortfall(std::vector<zone_need>& needs)
     {
-        constexpr double cheaperZoneBonus = 0.01;
+        constexpr double priceWeight = 0.01;
         zone_need* chosen = nullptr;
-        double mostLack = 0;
+        double largestShortfall = 0;
         for (zone_need& need : needs) {
-            if (need.plain >= need.plainRoom)
+            if (need.plain >= need.maxPlain)
                 continue;
-            const double lack = need.needed - need.plain - need.supplied - cheaperZoneBonus * need.price;
-            if (chosen && lack <= mostLack)
+            const double shortfall = need.needed - need.plain - need.supplied - priceWeight * need.price;
+            if (chosen && shortfall <= largestShortfall)
                 continue;
             chosen = &need;
-            mostLack = lack;
+            largestShortfall = shortfall;
         }
         return chosen;
     }
 
-    /// Gives each missing endpoint to the zone that lacks most.
+    /// Adds each missing endpoint to the zone with the largest shortfall.
     void addPlain(std::vector<zone_need>& needs, double missing)
     {
         for (double added = 0; added < missing; ++added) {
-            zone_need* chosen = findMostLacking(needs);
+            zone_need* chosen = findLargestShortfall(needs);
             if (!chosen)
                 return;
             ++chosen->plain;
@@ -118,38 +119,38 @@
         return total;
     }
 
-    /// Follows the endpoints of a service while no demand is known.
-    /// @return whether all that will stand at the start have appeared.
-    bool hasRegistered(starting_supply& starting, uint32_t count, milliseconds registrationTime, Common::instant now)
+    /// Counts the endpoints of a service while no demand is known.
+    /// @return whether all initial endpoints have registered.
+    bool updateInitialSupply(initial_supply& initial, uint32_t count, milliseconds registrationTime, Common::instant now)
     {
-        // What appears later was ordered.
-        if (starting.isComplete)
+        // Endpoints that appear later were ordered.
+        if (initial.isComplete)
             return true;
-        if (count > starting.count) {
-            starting.count = count;
-            starting.grownAt = now;
+        if (count > initial.count) {
+            initial.count = count;
+            initial.lastIncreaseAt = now;
         }
-        starting.isComplete = starting.count > 0 && now - starting.grownAt >= registrationTime;
-        return starting.isComplete;
+        initial.isComplete = initial.count > 0 && now - initial.lastIncreaseAt >= registrationTime;
+        return initial.isComplete;
     }
 
-    /// Before there is any demand, nothing is in use that a smaller number would take away.
-    void followAtOnce(plan_memory& memory, const wanted_map& planned)
+    /// Applies a plan without the delay for decreases. While there is no demand, no endpoint is in use.
+    void applyWithoutDelay(plan_state& planState, const wanted_map& planned)
     {
-        for (const auto& [item, count] : planned) {
-            memory.wanted[item] = count;
-            memory.lowerSince.erase(item);
+        for (const auto& [target, count] : planned) {
+            planState.wanted[target] = count;
+            planState.lowerSince.erase(target);
         }
     }
 
-    /// What is in use is the first plan of a holder that has none yet.
-    void startFromSupply(plan_memory& memory, const Common::service_name& service, const wanted_map& planned, const supply_map& supply)
+    /// A new lease holder has no previous plan: it starts from the existing endpoints, as they may be in use.
+    void initializeFromSupply(plan_state& planState, const Common::service_name& service, const wanted_map& planned, const supply_map& supply)
     {
-        for (const auto& [item, count] : planned) {
-            const auto present = supply.find(item.zone);
-            if (item.service != service || present == supply.end())
+        for (const auto& [target, count] : planned) {
+            const auto present = supply.find(target.zone);
+            if (target.service != service || present == supply.end())
                 continue;
-            memory.wanted.try_emplace(item, item.isReclaimable ? present->second.reclaimable : present->second.plain);
+            planState.wanted.try_emplace(target, target.isReclaimable ? present->second.reclaimable : present->second.plain);
         }
     }
 
@@ -167,21 +168,21 @@
     return supply;
 }
 
-wanted_map planEndpoints(const Catalog::service& item, const plan_input& input)
+wanted_map planEndpoints(const Catalog::service& service, const plan_input& input)
 {
     wanted_map wanted;
-    if (!item.scaling)
+    if (!service.scaling)
         return wanted;
-    std::vector<zone_need> needs = needByZone(item, input);
+    std::vector<zone_need> needs = needsByZone(service, input);
     addPlain(needs, std::ceil(totalOf(needs) - reclaimableAfterLoss(needs)));
     for (const zone_need& need : needs) {
-        wanted[{ item.name, need.zone, false }] = need.plain;
-        wanted[{ item.name, need.zone, true }] = std::min(need.reclaimable, item.scaling->most - need.plain);
+        wanted[{ service.name, need.zone, false }] = need.plain;
+        wanted[{ service.name, need.zone, true }] = std::min(need.reclaimable, service.scaling->most - need.plain);
     }
     return wanted;
 }
 
-wanted_map planServices(const Catalog::catalog& catalog, const Fleet::endpoint_map& endpoints, const demand_book& demand, const order_book& orders, plan_memory& memory, milliseconds registrationTime, Common::instant now)
+wanted_map planServices(const Catalog::catalog& catalog, const Fleet::endpoint_map& endpoints, const demand_tracker& demand, const order_tracker& orders, plan_state& planState, milliseconds registrationTime, Common::instant now)
 {
     wanted_map wanted;
     for (const auto& [name, service] : catalog.services) {
@@ -191,87 +192,87 @@
         input.demand = demandByZone(demand, name, now);
         input.supply = countSupply(endpoints, name);
         input.exhausted = exhaustedZones(orders, name, now);
-        starting_supply& starting = memory.starting[name];
-        if (input.demand.empty() && !hasRegistered(starting, totalOf(input.supply), registrationTime, now))
+        initial_supply& initial = planState.initial[name];
+        if (input.demand.empty() && !updateInitialSupply(initial, totalOf(input.supply), registrationTime, now))
             continue;
-        input.startingCount = starting.count;
+        input.initialCount = initial.count;
         const wanted_map planned = planEndpoints(service, input);
         if (input.demand.empty())
-            followAtOnce(memory, planned);
+            applyWithoutDelay(planState, planned);
         else
-            startFromSupply(memory, name, planned, input.supply);
+            initializeFromSupply(planState, name, planned, input.supply);
         wanted.insert(planned.begin(), planned.end());
     }
-    return steady(memory, wanted, now);
+    return delayDecreases(planState, wanted, now);
 }
 
-wanted_map steady(plan_memory& memory, const wanted_map& planned, Common::instant now)
+wanted_map delayDecreases(plan_state& planState, const wanted_map& planned, Common::instant now)
 {
-    for (const auto& [item, count] : planned) {
-        const auto known = memory.wanted.find(item);
-        if (known == memory.wanted.end() || count >= known->second) {
-            memory.wanted[item] = count;
-            memory.lowerSince.erase(item);
+    for (const auto& [target, count] : planned) {
+        const auto previous = planState.wanted.find(target);
+        if (previous == planState.wanted.end() || count >= previous->second) {
+            planState.wanted[target] = count;
+            planState.lowerSince.erase(target);
             continue;
         }
-        const Common::instant since = memory.lowerSince.try_emplace(item, now).first->second;
-        if (now - since < fallDelay)
+        const Common::instant since = planState.lowerSince.try_emplace(target, now).first->second;
+        if (now - since < decreaseDelay)
             continue;
-        known->second = count;
-        memory.lowerSince.erase(item);
+        previous->second = count;
+        planState.lowerSince.erase(target);
     }
-    return memory.wanted;
+    return planState.wanted;
 }
 
-std::optional<order> nextOrder(order_book& state, const wanted_map& wanted, Common::instant now)
+std::optional<order> nextOrder(order_tracker& state, const wanted_map& wanted, Common::instant now)
 {
     if (state.current)
         return {};
-    for (const auto& [item, desired] : wanted) {
-        placed_order& known = state.orders[item];
-        if (known.desired == desired && now < known.nextTry)
+    for (const auto& [target, desired] : wanted) {
+        placed_order& placed = state.orders[target];
+        if (placed.desired == desired && now < placed.nextTry)
             continue;
-        known.desired = desired;
-        known.nextTry = now + retryPause;
-        state.current = order { item.service, item.zone, item.isReclaimable, desired };
+        placed.desired = desired;
+        placed.nextTry = now + retryDelay;
+        state.current = order { target.service, target.zone, target.isReclaimable, desired };
         return state.current;
     }
     return {};
 }
 
-void takeOutcome(order_book& state, order_outcome outcome, Common::instant now)
+void applyOutcome(order_tracker& state, order_outcome outcome, Common::instant now)
 {
     if (!state.current)
         return;
-    placed_order& known = state.orders[{ state.current->service, state.current->zone, state.current->isReclaimable }];
-    known.isDone = outcome == order_outcome::Done;
-    known.nextTry = now + (known.isDone ? renewPause : retryPause);
-    known.exhaustedUntil = {};
+    placed_order& placed = state.orders[{ state.current->service, state.current->zone, state.current->isReclaimable }];
+    placed.isConfirmed = outcome == order_outcome::Done;
+    placed.nextTry = now + (placed.isConfirmed ? repeatInterval : retryDelay);
+    placed.exhaustedUntil = {};
     if (outcome == order_outcome::NoneAvailable) {
-        known.nextTry = now + exhaustedPause;
-        known.exhaustedUntil = now + exhaustedMemory;
+        placed.nextTry = now + exhaustedRetryDelay;
+        placed.exhaustedUntil = now + exhaustedDuration;
     }
     state.current.reset();
 }
 
-std::set<Common::zone_name> exhaustedZones(const order_book& state, const Common::service_name& service, Common::instant now)
+std::set<Common::zone_name> exhaustedZones(const order_tracker& state, const Common::service_name& service, Common::instant now)
 {
     std::set<Common::zone_name> zones;
-    for (const auto& [item, known] : state.orders) {
-        if (item.service == service && item.isReclaimable && now < known.exhaustedUntil)
-            zones.insert(item.zone);
+    for (const auto& [target, placed] : state.orders) {
+        if (target.service == service && target.isReclaimable && now < placed.exhaustedUntil)
+            zones.insert(target.zone);
     }
     return zones;
 }
 
-void noteLoss(order_book& state, const subject& item, Common::instant now)
+void recordEndpointLoss(order_tracker& state, const order_target& target, Common::instant now)
 {
-    const auto known = state.orders.find(item);
+    const auto known = state.orders.find(target);
     if (known != state.orders.end())
         known->second.nextTry = std::min(known->second.nextTry, now);
 }
 
-void forgetOrders(order_book& state)
+void clearOrders(order_tracker& state)
 {
     state.orders.clear();
     state.current.reset();
--- a/Source/Core/Scaling/Plan.h
+++ b/Source/Core/Scaling/Plan.h
@@ -1,9 +1,10 @@
 #pragma once
 
 /// @file
-/// How many endpoints of a service are ordered, where and of which kind. Reclaimable endpoints are cheap, but all of a
-/// zone may go at once, at times with none to be had elsewhere: what is left then must still carry the demand, with
-/// endpoints that are not reclaimable making up for what is missing. Pure: no clock, no socket.
+/// Plans how many endpoints of a service to order in each zone, and whether reclaimable or plain (not reclaimable)
+/// ones. Reclaimable endpoints are cheap, but the cloud can take back all of a zone at once, possibly while other zones
+/// have no capacity. The remaining endpoints must still cover the demand, so plain endpoints make up the difference.
+/// Pure: no clock, no socket.
 
 #include "Catalog/Catalog.h"
 #include "Fleet/EndpointBook.h"
@@ -17,102 +18,105 @@
 
 namespace Scaling {
 
-/// One number of endpoints that is ordered by itself.
-struct subject {
+/// Key of an order: each combination has its own desired number of endpoints.
+struct order_target {
     Common::service_name service;
     Common::zone_name zone;
     bool isReclaimable { false };
 
-    friend auto operator<=>(const subject&, const subject&) = default;
+    friend auto operator<=>(const order_target&, const order_target&) = default;
 };
 
-/// Endpoints of one zone that take work now.
+/// Number of ready endpoints in one zone.
 struct zone_supply {
     uint32_t plain { 0 };
     uint32_t reclaimable { 0 };
 };
 
-struct order_book;
+struct order_tracker;
 
 using supply_map = std::map<Common::zone_name, zone_supply>;
-using wanted_map = std::map<subject, uint32_t>;
+using wanted_map = std::map<order_target, uint32_t>;
 
-/// Counts the endpoints of a service that take work.
+/// Counts the ready endpoints of a service by zone.
 supply_map countSupply(const Fleet::endpoint_map& endpoints, const Common::service_name& service);
 
-/// The endpoints of a service that stood before any demand was known.
-struct starting_supply {
-    uint32_t count { 0 }; ///< The most at one moment.
-    Common::instant grownAt; ///< When the last of them appeared.
-    bool isComplete { false };
+/// Endpoints of a service that existed before any demand was known.
+struct initial_supply {
+    uint32_t count { 0 }; ///< Highest number seen at one time.
+    Common::instant lastIncreaseAt; ///< When `count` last increased.
+    bool isComplete { false }; ///< All of them have registered.
 };
 
-/// Remembers what makes the plan steady.
-struct plan_memory {
-    std::map<Common::service_name, starting_supply> starting;
-    std::map<subject, uint32_t> wanted; ///< As planned last.
-    std::map<subject, Common::instant> lowerSince; ///< Since when less would do.
+/// State kept between plans, so that counts don't fluctuate.
+struct plan_state {
+    std::map<Common::service_name, initial_supply> initial;
+    std::map<order_target, uint32_t> wanted; ///< Result of the last plan.
+    std::map<order_target, Common::instant> lowerSince; ///< When the planned count first fell below `wanted`.
 };
 
-/// What a plan is made from.
+/// Input of the plan for one service.
 struct plan_input {
-    std::map<Common::zone_name, busy_engines> demand; ///< Empty while nothing is known.
-    supply_map supply; ///< What takes work now.
-    std::set<Common::zone_name> exhausted {}; ///< Zones where no reclaimable endpoint was to be had lately.
-    uint32_t startingCount { 0 }; ///< Endpoints that stood before any demand was known.
+    std::map<Common::zone_name, busy_engines> demand; ///< Empty while no demand is known.
+    supply_map supply; ///< Ready endpoints.
+    std::set<Common::zone_name> exhausted {}; ///< Zones that recently had no reclaimable endpoints available.
+    uint32_t initialCount { 0 }; ///< See initial_supply::count.
 };
 
-/// @param item a service that is scaled.
+/// @param service a service with scaling bounds; the plan is empty without them.
 /// @param input demand and supply.
-/// @return the wanted number of each kind in each zone.
-wanted_map planEndpoints(const Catalog::service& item, const plan_input& input);
-
-/// Plans all services that are scaled. A service of which neither endpoints nor demand are known is left out.
-/// @param catalog in force.
-/// @param endpoints all that are known.
-/// @param demand as the nodes have told it.
-/// @param orders given so far.
-/// @param memory changed in place.
-/// @param registrationTime when no endpoint has appeared for so long at the start, all have: the interval at which they
-/// write their entries, and the one at which this node reads them.
-/// @param now the present time.
+/// @return the wanted numbers of reclaimable and plain endpoints in each zone.
+wanted_map planEndpoints(const Catalog::service& service, const plan_input& input);
+
+/// Plans all services with scaling bounds. A service is skipped while its demand is unknown and not all of its initial
+/// endpoints have registered.
+/// @param catalog the current catalog.
+/// @param endpoints all known endpoints.
+/// @param demand demand reported by the nodes.
+/// @param orders orders issued so far.
+/// @param planState updated in place.
+/// @param registrationTime the initial endpoints count as complete when none has appeared for this long: the interval
+/// at which endpoints write their entries plus the one at which this node reads them.
+/// @param now current time.
 /// @return the numbers to order.
-wanted_map planServices(const Catalog::catalog& catalog, const Fleet::endpoint_map& endpoints, const demand_book& demand, const order_book& orders, plan_memory& memory, milliseconds registrationTime, Common::instant now);
+wanted_map planServices(const Catalog::catalog& catalog, const Fleet::endpoint_map& endpoints, const demand_tracker& demand, const order_tracker& orders, plan_state& planState, milliseconds registrationTime, Common::instant now);
 
-/// Lets numbers rise at once and fall only after a while.
-/// @param memory changed in place.
+/// Applies increases at once, and decreases only after the lower count has lasted for a while.
+/// @param planState updated in place.
+/// @param planned the new plan.
+/// @param now current time.
 /// @return the numbers to order.
-wanted_map steady(plan_memory& memory, const wanted_map& planned, Common::instant now);
+wanted_map delayDecreases(plan_state& planState, const wanted_map& planned, Common::instant now);
 
-/// What was last ordered for a subject.
+/// The last order for an order_target.
 struct placed_order {
     uint32_t desired { 0 };
-    bool isDone { false }; ///< The cloud has confirmed it.
-    Common::instant nextTry;
-    Common::instant exhaustedUntil; ///< None was to be had; until then it is taken to be so.
+    bool isConfirmed { false }; ///< The cloud has confirmed the order.
+    Common::instant nextTry; ///< Earliest time to repeat the order.
+    Common::instant exhaustedUntil; ///< The zone had no capacity; assumed to last until then.
 };
 
-struct order_book {
-    std::map<subject, placed_order> orders;
-    std::optional<order> current; ///< Under way.
+struct order_tracker {
+    std::map<order_target, placed_order> orders;
+    std::optional<order> current; ///< Sent, not answered yet.
 };
 
-/// @param state what was ordered; an order that is returned counts as under way.
+/// @param state the orders so far; a returned order becomes the current one.
 /// @param wanted the wanted numbers.
-/// @param now the present time.
-/// @return the next order to give.
-std::optional<order> nextOrder(order_book& state, const wanted_map& wanted, Common::instant now);
+/// @param now current time.
+/// @return the next order to send; nothing while one is in progress or none is due.
+std::optional<order> nextOrder(order_tracker& state, const wanted_map& wanted, Common::instant now);
 
-/// Takes the end of the order under way.
-void takeOutcome(order_book& state, order_outcome outcome, Common::instant now);
+/// Records the outcome of the current order.
+void applyOutcome(order_tracker& state, order_outcome outcome, Common::instant now);
 
-/// @return zones where no reclaimable endpoint of the service was to be had lately.
-std::set<Common::zone_name> exhaustedZones(const order_book& state, const Common::service_name& service, Common::instant now);
+/// @return zones that recently had no reclaimable endpoints available for the service.
+std::set<Common::zone_name> exhaustedZones(const order_tracker& state, const Common::service_name& service, Common::instant now);
 
-/// An endpoint of a subject went although it was ordered: the order is given again.
-void noteLoss(order_book& state, const subject& item, Common::instant now);
+/// Makes the order of a lost endpoint due at once, to replace the endpoint.
+void recordEndpointLoss(order_tracker& state, const order_target& target, Common::instant now);
 
-/// Another node may have given orders: nothing is known of them.
-void forgetOrders(order_book& state);
+/// Drops all orders. Needed when another node may have issued orders since.
+void clearOrders(order_tracker& state);
 
 } // namespace Scaling
--- a/Source/Core/Scaling/Tests/ScalingTest.cpp
+++ b/Source/Core/Scaling/Tests/ScalingTest.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Demand, and the endpoints ordered for it while zones lose what is reclaimable.
+/// Averages of demand, and plans and orders of endpoints, also while zones lose their reclaimable endpoints.
 
 #include "Scaling/Demand.h"
 #include "Scaling/Plan.h"
@@ -51,7 +51,7 @@
 
 TEST_GROUP(Plan) {};
 
-TEST(Plan, TheLossOfAnyZoneLeavesEnough)
+TEST(Plan, EndpointsLeftAfterLosingAnyZoneCoverTheDemand)
 {
     struct row {
         std::map<Common::zone_name, busy_engines> demand;
@@ -60,13 +60,13 @@
         uint32_t plainAtMost;
     };
     const row rows[] = {
-        // Reclaimable endpoints stand in all zones: no plain one is needed.
+        // All zones have reclaimable endpoints: no plain ones are needed.
         { makeDemand(0.8, 0.8, 0.8), { { { "a" }, { 0, 3 } }, { { "b" }, { 0, 3 } }, { { "c" }, { 0, 3 } } }, 0, 0 },
-        // One zone has lost them: another may follow.
+        // One zone has lost its reclaimable endpoints, and a second one may lose them too.
         { makeDemand(0.8, 0.8, 0.8), { { { "a" }, { 0, 0 } }, { { "b" }, { 0, 3 } }, { { "c" }, { 0, 3 } } }, 1, 2 },
-        // Nothing is to be had: plain ones carry all.
+        // No reclaimable endpoints exist: plain ones cover all demand.
         { makeDemand(0.8, 0.8, 0.8), {}, 4, 5 },
-        // Nothing is asked.
+        // No demand.
         { makeDemand(0, 0, 0), {}, 0, 0 },
     };
     for (const row& item : rows) {
@@ -77,7 +77,7 @@
     }
 }
 
-TEST(Plan, NumbersStayWithinTheBoundsOfAZone)
+TEST(Plan, CountsStayWithinTheLimitOfEachZone)
 {
     const wanted_map wanted = planEndpoints(makeService(), { makeDemand(40, 1, 1), {}, {} });
     std::map<Common::zone_name, uint32_t> zones;
@@ -87,9 +87,10 @@
         CHECK(count <= 6);
 }
 
-TEST(Plan, WhereNoneIsToBeHadPlainEndpointsGetTheRoom)
+TEST(Plan, PlainEndpointsReplaceUnavailableReclaimableOnes)
 {
-    // The load: every zone needs all it may have, and the cloud has just taken all reclaimable endpoints.
+    // Every zone needs its maximum, and the cloud has just taken back all reclaimable endpoints. Without the check for
+    // exhausted zones, unavailable reclaimable endpoints would use up the maximum of the zone.
     plan_input input { makeDemand(3, 3, 3), {}, {} };
     CHECK_EQUAL(0, sum(planEndpoints(makeService(), input), false));
     input.exhausted = { { "a" }, { "b" }, { "c" } };
@@ -98,42 +99,43 @@
     CHECK(sum(wanted, false) + sum(wanted, true) <= 18);
 }
 
-TEST(Plan, AServiceThatIsNotScaledIsLeftAlone)
+TEST(Plan, AServiceWithoutScalingBoundsIsNotPlanned)
 {
     Catalog::service plain;
     plain.name = { "ledger" };
     CHECK(planEndpoints(plain, {}).empty());
 }
 
-TEST(Plan, BeforeAnyDemandIsKnownSomeOfWhatStandsIsKept)
+TEST(Plan, EndpointsAreKeptWhileDemandIsUnknown)
 {
     const supply_map supply { { { "a" }, { 3, 0 } }, { { "b" }, { 3, 0 } }, { { "c" }, { 3, 0 } } };
     const wanted_map wanted = planEndpoints(makeService(), { {}, supply, {}, 9 });
     CHECK(sum(wanted, false) + sum(wanted, true) >= 6);
 }
 
-TEST(Plan, NumbersRiseAtOnceAndFallLater)
+TEST(Plan, CountsRiseAtOnceAndFallAfterADelay)
 {
-    plan_memory memory;
-    const subject item { { "s" }, { "a" }, true };
-    steady(memory, { { item, 2 } }, at(0));
-    CHECK_EQUAL(4, steady(memory, { { item, 4 } }, at(100))[item]);
-    CHECK_EQUAL(4, steady(memory, { { item, 1 } }, at(200))[item]);
-    CHECK_EQUAL(4, steady(memory, { { item, 1 } }, at(3000))[item]);
-    CHECK_EQUAL(1, steady(memory, { { item, 1 } }, at(20000))[item]);
+    plan_state planState;
+    const order_target target { { "s" }, { "a" }, true };
+    delayDecreases(planState, { { target, 2 } }, at(0));
+    CHECK_EQUAL(4, delayDecreases(planState, { { target, 4 } }, at(100))[target]);
+    CHECK_EQUAL(4, delayDecreases(planState, { { target, 1 } }, at(200))[target]);
+    CHECK_EQUAL(4, delayDecreases(planState, { { target, 1 } }, at(3000))[target]);
+    CHECK_EQUAL(1, delayDecreases(planState, { { target, 1 } }, at(20000))[target]);
 }
 
-TEST(Plan, NothingIsOrderedBeforeTheFleetHasRegistered)
+TEST(Plan, NothingIsOrderedBeforeTheInitialEndpointsHaveRegistered)
 {
-    // The load: the first node plans before any endpoint has written its entry; then they register one after the other.
+    // The first node plans before any endpoint has registered. The endpoints then register one after the other;
+    // planning from a part of them would release the rest.
     Catalog::catalog catalog;
     catalog.services.emplace(Common::service_name { "s" }, makeService());
-    plan_memory memory;
+    plan_state planState;
     Fleet::endpoint_map endpoints;
-    const auto plan = [&](int ms) { return planServices(catalog, endpoints, {}, {}, memory, milliseconds(3300), at(ms)); };
+    const auto plan = [&](int ms) { return planServices(catalog, endpoints, {}, {}, planState, milliseconds(3300), at(ms)); };
     CHECK(plan(0).empty());
     CHECK(plan(10000).empty());
-    // With many nodes each reads of them every two seconds and more.
+    // In a large fleet a node reads the endpoint entries only about every two seconds.
     for (int number = 0; number < 9; ++number) {
         Fleet::endpoint item = makeEndpoint(number, false);
         endpoints.emplace(item.id, item);
@@ -144,11 +146,11 @@
     const wanted_map wanted = plan(18000);
     CHECK(sum(wanted, false) >= 4);
     CHECK(sum(wanted, true) >= 6);
-    // Endpoints that are given back since are no measure of the demand.
+    // Endpoints released since then don't lower the assumed demand.
     for (int number = 0; number < 5; ++number)
         endpoints.erase(makeEndpoint(number, false).id);
     CHECK_EQUAL(sum(wanted, true), sum(plan(18300), true));
-    // Once the cheap ones stand, the others are given back without delay.
+    // Once the reclaimable endpoints are ready, the plain ones are released without delay.
     for (int number = 20; number < 29; ++number) {
         Fleet::endpoint item = makeEndpoint(number, true);
         endpoints.emplace(item.id, item);
@@ -156,9 +158,10 @@
     CHECK_EQUAL(0, sum(plan(19000), false));
 }
 
-TEST(Plan, AnotherHolderDoesNotGiveBackAtOnceWhatIsInUse)
+TEST(Plan, ANewLeaseHolderDoesNotReleaseEndpointsInUseAtOnce)
 {
-    // The load: the holder of the lease is killed, and the next one knows little of the demand yet.
+    // The lease holder is killed, and the new holder has received little demand so far. A plan from that demand alone
+    // would release endpoints in use.
     Catalog::catalog catalog;
     catalog.services.emplace(Common::service_name { "s" }, makeService());
     Fleet::endpoint_map endpoints;
@@ -166,53 +169,53 @@
         Fleet::endpoint item = makeEndpoint(number, true);
         endpoints.emplace(item.id, item);
     }
-    demand_book demand;
-    noteDemand(demand, { { "n" }, { "a" }, { { { "s" }, 20 } }, milliseconds(250) }, at(0));
-    plan_memory memory;
-    CHECK_EQUAL(12, sum(planServices(catalog, endpoints, demand, {}, memory, milliseconds(3300), at(0)), true));
-    CHECK_EQUAL(12, sum(planServices(catalog, endpoints, demand, {}, memory, milliseconds(3300), at(2000)), true));
+    demand_tracker demand;
+    recordDemand(demand, { { "n" }, { "a" }, { { { "s" }, 20 } }, milliseconds(250) }, at(0));
+    plan_state planState;
+    CHECK_EQUAL(12, sum(planServices(catalog, endpoints, demand, {}, planState, milliseconds(3300), at(0)), true));
+    CHECK_EQUAL(12, sum(planServices(catalog, endpoints, demand, {}, planState, milliseconds(3300), at(2000)), true));
 }
 
 TEST(Plan, OrdersAreRepeatedUntilConfirmedAndAfterALoss)
 {
-    order_book orders;
-    const subject item { { "s" }, { "a" }, true };
-    const wanted_map wanted { { item, 2 } };
+    order_tracker orders;
+    const order_target target { { "s" }, { "a" }, true };
+    const wanted_map wanted { { target, 2 } };
     CHECK(nextOrder(orders, wanted, at(0)).has_value());
     CHECK(!nextOrder(orders, wanted, at(0)).has_value());
-    takeOutcome(orders, order_outcome::NoneAvailable, at(10));
+    applyOutcome(orders, order_outcome::NoneAvailable, at(10));
     CHECK_EQUAL(1, exhaustedZones(orders, { "s" }, at(100)).size());
     CHECK(!nextOrder(orders, wanted, at(800)).has_value());
     CHECK(nextOrder(orders, wanted, at(2100)).has_value());
-    takeOutcome(orders, order_outcome::Done, at(2110));
+    applyOutcome(orders, order_outcome::Done, at(2110));
     CHECK(exhaustedZones(orders, { "s" }, at(2111)).empty());
     CHECK(!nextOrder(orders, wanted, at(5000)).has_value());
-    noteLoss(orders, item, at(5001));
+    recordEndpointLoss(orders, target, at(5001));
     CHECK(nextOrder(orders, wanted, at(5001)).has_value());
 }
 
 TEST_GROUP(Demand) {};
 
-TEST(Demand, IsAnAverageThatNoiseDoesNotRaise)
+TEST(Demand, LargeSingleRequestsDoNotRaiseTheAverage)
 {
-    demand_book book;
-    const auto tell = [&book](int now, double engineMs) {
-        noteDemand(book, { { "n" }, { "a" }, { { { "s" }, engineMs } }, milliseconds(250) }, at(now));
+    demand_tracker tracker;
+    const auto report = [&tracker](int now, double engineMs) {
+        recordDemand(tracker, { { "n" }, { "a" }, { { { "s" }, engineMs } }, milliseconds(250) }, at(now));
     };
     int now = 0;
     double sum = 0;
     int samples = 0;
-    // The load: one large request every second.
+    // One large request per second.
     for (; now < 20000; now += 250) {
-        tell(now, now % 1000 == 0 ? 500 : 0);
+        report(now, now % 1000 == 0 ? 500 : 0);
         if (now < 10000)
             continue;
-        sum += demandByZone(book, { "s" }, at(now))[{ "a" }].value;
+        sum += demandByZone(tracker, { "s" }, at(now))[{ "a" }].value;
         ++samples;
     }
     DOUBLES_EQUAL(0.5, sum / samples, 0.05);
     for (const int end = now + 3000; now < end; now += 250)
-        tell(now, 500);
-    CHECK(demandByZone(book, { "s" }, at(now))[{ "a" }].value > 1.3);
-    CHECK(demandByZone(book, { "s" }, at(now + 10000)).empty());
+        report(now, 500);
+    CHECK(demandByZone(tracker, { "s" }, at(now))[{ "a" }].value > 1.3);
+    CHECK(demandByZone(tracker, { "s" }, at(now + 10000)).empty());
 }
