--- a/Source/Core/Control/ControlContext.h
+++ b/Source/Core/Control/ControlContext.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What the parts of the control duty share: the client to the platform, and what this node knows of the fleet.
+/// State shared by the parts of the control duty: the client for calls to the platform, and the fleet as known here.
 
 #include "Control/ControlDuty.h"
 #include "Control/Pace.h"
@@ -16,21 +16,23 @@
     Fleet::endpoint_book endpoints;
     Catalog::catalog_pointer catalog;
     Fleet::node_map nodes;
-    std::optional<store_reading> storeClock;
+    std::optional<store_reading> storeClock; ///< Empty until the store has answered.
     Lease::lease_state lease;
 
     using answer_handler = std::function<void(const Store::rows_answer&)>;
 
-    /// Calls the store.
+    /// Calls the store and updates `storeClock` from its answer.
     /// @param onAnswer called once, from the client's poll().
     void call(Http::outgoing_request&& request, answer_handler onAnswer);
-    /// Applies a transaction.
+    /// Sends a transaction to the store.
+    /// @param onAnswer called once, from the client's poll().
     void commit(const Store::transaction& item, answer_handler onAnswer);
-    /// @return IP number and port of the store.
+    /// @return IP address and port of the store.
     const std::string& storeAddress() const;
-    /// @return who this node is to the cloud, with the fencing token of the newest renewal.
-    Scaling::order_giver giver() const;
-    /// @return true time by the median of the nodes' offsets; nothing before the store has answered.
+    /// @return this node as the issuer of orders, with the fencing token of its last lease renewal.
+    Scaling::order_giver issuer() const;
+    /// @return true time from the median clock offset of the nodes; nothing before the store has answered or while no
+    /// node's offset is known.
     std::optional<Usage::true_time> trueTime(Common::instant now) const;
 };
 
--- a/Source/Core/Control/ControlDuty.cpp
+++ b/Source/Core/Control/ControlDuty.cpp
@@ -23,10 +23,11 @@
     constexpr milliseconds longestPoll { 200 };
     constexpr milliseconds nodesWait { 8000 };
     constexpr milliseconds statusWait { 1500 };
-    /// So many nodes watch the lease closely; the others look now and then.
-    constexpr size_t closeWatchers = 2;
-    constexpr milliseconds closeWatchInterval { 1500 };
-    constexpr milliseconds distantWatchInterval { 9000 };
+    /// Number of nodes that poll the lease at the short interval to take it over soon after it lapses. The others poll
+    /// rarely, to limit the reads of the store.
+    constexpr size_t frequentWatchers = 2;
+    constexpr milliseconds frequentWatchInterval { 1500 };
+    constexpr milliseconds rareWatchInterval { 9000 };
     constexpr const char* nodeTable = "nodes";
     constexpr uint64_t nonceBits = 48;
     constexpr milliseconds rolloutTickInterval { 200 };
@@ -35,7 +36,7 @@
 
 struct control_duty::implementation {
     control_context context;
-    usage_keeper usage { context };
+    usage_tracker usage { context };
     endpoint_orders orders { context };
     control_outlets outlets;
     Common::ring<control_message> inbox { ringCapacity };
@@ -45,13 +46,13 @@
     Store::table_watch operatorWatch;
     Store::table_watch endpointWatch;
     node_rows nodeRows { context };
-    Store::table_watch statusWatch; ///< Followed only while a rollout is known.
-    std::string catalogText; ///< In the platform's form, for peers that can't reach the store.
+    Store::table_watch statusWatch; ///< Polled only while a rollout is in progress.
+    std::string catalogText; ///< The catalog in the platform's format, for peers that can't reach the store.
     bool wasHolder { false };
-    rollout_keeper rollouts;
+    rollout_tracker rollouts;
     Common::instant nextRolloutTick;
 
-    // --- Tables that are followed
+    // --- Watched tables
 
     void follow(Store::table_watch& watch, void (implementation::*onChange)())
     {
@@ -63,13 +64,13 @@
             : context.settings.calls.changes(context.storeAddress(), std::get<Store::change_query>(*query));
         context.call(std::move(request), [this, &watch, onChange](const Store::rows_answer& answer) {
             const Store::watch_event event = Store::takeAnswer(watch, answer, Common::bootClockNow());
-            noteDependency(watch, event);
+            handleWatchEvent(watch, event);
             if (event.hasChanged)
                 (this->*onChange)();
         });
     }
 
-    void noteDependency(const Store::table_watch& watch, const Store::watch_event& event)
+    void handleWatchEvent(const Store::table_watch& watch, const Store::watch_event& event)
     {
         if (event.hasFailed)
             Common::logEvent(Common::log_level::Warning, "store_lost", { { "table", watch.settings.table }, { "newest", watch.newest.value } });
@@ -82,25 +83,25 @@
 
     void operatorRowsChanged()
     {
-        adoptCatalog(operatorWatch.rows, "store");
-        perform(noteOrders(rollouts, context.settings.calls.rollouts(operatorWatch.rows), operatorWatch.rows, Common::bootClockNow()));
+        applyCatalog(operatorWatch.rows, "store");
+        perform(applyOrders(rollouts, context.settings.calls.rollouts(operatorWatch.rows), operatorWatch.rows, Common::bootClockNow()));
     }
 
     void statusRowsChanged()
     {
-        for (const auto& [service, item] : std::map(rollouts.rollouts)) {
+        for (const auto& [service, rollout] : std::map(rollouts.rollouts)) {
             for (const auto& [key, row] : statusWatch.rows) {
-                const auto status = context.settings.calls.readRolloutStatus(row, item.order);
-                // The row of an earlier rollout to the same version is older than the order.
-                if (status && key.ends_with("/" + service.value) && row.version > item.orderVersion)
-                    perform(noteReported(rollouts, service, *status, Common::bootClockNow()));
+                const auto status = context.settings.calls.readRolloutStatus(row, rollout.order);
+                // A row older than the order belongs to an earlier rollout to the same version.
+                if (status && key.ends_with("/" + service.value) && row.version > rollout.orderVersion)
+                    perform(applyReportedStatus(rollouts, service, *status, Common::bootClockNow()));
             }
         }
     }
 
     // --- Rollouts
 
-    void perform(const keeper_actions& actions)
+    void perform(const rollout_actions& actions)
     {
         for (const Rollout::rollout_action& action : actions)
             std::visit([this](const auto& item) { perform(item); }, action);
@@ -112,7 +113,7 @@
             Common::logEvent(Common::log_level::Info, "version_share", { { "service", action.service }, { "version", version.value }, { "thousandths", share } });
             outlets.tellGateway(Gateway::version_share_known { { action.service }, version, share });
         }
-        // Without shares, the version that was rolled out is the current one.
+        // No shares: the rollout is complete, and the new version receives all requests.
         const auto done = rollouts.rollouts.find({ action.service });
         if (action.shares.empty() && done != rollouts.rollouts.end())
             outlets.tellGateway(Gateway::version_share_known { { action.service }, done->second.order.to, 1000 });
@@ -126,14 +127,14 @@
         outlets.tellPeersLatch(action);
     }
 
-    void perform(const Rollout::propose_end& action) { noteProposal(rollouts, action); }
+    void perform(const Rollout::propose_end& action) { recordProposal(rollouts, action); }
 
     void tickRollouts(Common::instant now)
     {
         if (!isActive(rollouts) || now < nextRolloutTick)
             return;
         nextRolloutTick = now + rolloutTickInterval;
-        perform(judge(rollouts, Rollout::rollout_tick {}, now));
+        perform(evaluate(rollouts, Rollout::rollout_tick {}, now));
     }
 
     void reportRollouts()
@@ -150,11 +151,11 @@
                 return;
             known->second.isReporting = false;
             if (answer.outcome == Store::call_outcome::Done)
-                perform(noteReported(rollouts, report->order.service, *report->proposed, Common::bootClockNow()));
+                perform(applyReportedStatus(rollouts, report->order.service, *report->proposed, Common::bootClockNow()));
         });
     }
 
-    void adoptCatalog(const std::map<std::string, Store::row>& rows, const char* source)
+    void applyCatalog(const std::map<std::string, Store::row>& rows, const char* source)
     {
         const auto newer = context.settings.calls.catalog(rows, context.catalog ? context.catalog->version : 0);
         if (!newer)
@@ -168,10 +169,10 @@
 
     void endpointRowsChanged()
     {
-        const Fleet::listing heard = context.settings.calls.endpoints(endpointWatch.rows);
-        const auto changes = Fleet::applyListing(context.endpoints, heard, Common::bootClockNow());
+        const Fleet::listing listing = context.settings.calls.endpoints(endpointWatch.rows);
+        const auto changes = Fleet::applyListing(context.endpoints, listing, Common::bootClockNow());
         for (const Fleet::endpoint_change& change : changes)
-            tellEndpointChange(change, "store");
+            publishEndpointChange(change, "store");
         outlets.tellGateway(Gateway::endpoints_known { context.endpoints.endpoints });
     }
 
@@ -179,12 +180,12 @@
     {
         const auto changes = Fleet::dropMissing(context.endpoints, now);
         for (const Fleet::endpoint_change& change : changes)
-            tellEndpointChange(change, "not_returned");
+            publishEndpointChange(change, "not_returned");
         if (!changes.empty())
             outlets.tellGateway(Gateway::endpoints_known { context.endpoints.endpoints });
     }
 
-    void tellEndpointChange(const Fleet::endpoint_change& change, const char* source)
+    void publishEndpointChange(const Fleet::endpoint_change& change, const char* source)
     {
         Common::logEvent(Common::log_level::Info, "endpoint_changed", { { "endpoint", change.item.id.value }, { "change", Fleet::nameOf(change.kind) }, { "service", change.item.service.value }, { "zone", change.item.zone.value }, { "reclaimable", change.item.isReclaimable }, { "version", change.item.version.value }, { "source", source }, { "row_version", endpointWatch.newest.value } });
         if (change.kind == Fleet::change_kind::BeganLeaving)
@@ -196,25 +197,26 @@
     void nodeRowsChanged()
     {
         readNodeRows(nodeRows);
-        paceByNodes();
-        perform(judge(rollouts, Rollout::nodes_counted { context.nodes.size() }, Common::bootClockNow()));
+        updateCallIntervals();
+        perform(evaluate(rollouts, Rollout::nodes_counted { context.nodes.size() }, Common::bootClockNow()));
         outlets.publishNodes(context.nodes);
     }
 
-    void paceByNodes()
+    void updateCallIntervals()
     {
-        const store_pace pace = paceFor(context.nodes.size(), context.settings.facts.bounds);
-        operatorWatch.settings.longestWait = pace.catalogWait;
-        endpointWatch.settings.longestWait = pace.endpointWait;
-        endpointWatch.settings.pause = pace.endpointPause;
-        nodeRows.watch.settings.pause = pace.nodesPause;
+        const store_call_intervals intervals = callIntervalsFor(context.nodes.size(), context.settings.facts.bounds);
+        operatorWatch.settings.longestWait = intervals.catalogWait;
+        endpointWatch.settings.longestWait = intervals.endpointWait;
+        endpointWatch.settings.pause = intervals.endpointBatchDelay;
+        nodeRows.watch.settings.pause = intervals.nodeBatchDelay;
         for (Store::table_watch* watch : { &operatorWatch, &endpointWatch, &nodeRows.watch, &statusWatch })
-            watch->settings.longestRetry = pace.longestRetry;
-        context.lease.settings.watchInterval = ownRank() < closeWatchers ? closeWatchInterval : distantWatchInterval;
+            watch->settings.longestRetry = intervals.longestRetry;
+        context.lease.settings.watchInterval = leaseWatchRank() < frequentWatchers ? frequentWatchInterval : rareWatchInterval;
     }
 
-    /// This node's place in the order in which nodes watch the lease; the same on all nodes.
-    size_t ownRank() const
+    /// @return this node's rank, from 0, among the nodes that are not leaving. All nodes compute the same ranking, so
+    /// they agree on which of them poll the lease often.
+    size_t leaseWatchRank() const
     {
         const std::string& self = context.settings.self.node.value;
         const uint64_t own = Common::rendezvousScore("lease", self);
@@ -225,7 +227,7 @@
 
     // --- The lease
 
-    void keepLease(Common::instant now)
+    void maintainLease(Common::instant now)
     {
         const auto next = Lease::nextCall(context.lease, now);
         if (!next)
@@ -235,16 +237,16 @@
             : context.settings.calls.transaction(context.storeAddress(), std::get<Store::transaction>(*next));
         context.call(std::move(request), [this](const Store::rows_answer& answer) {
             Lease::takeAnswer(context.lease, answer, Common::bootClockNow());
-            noteHolder();
+            handleHolderChange();
         });
     }
 
-    void noteHolder()
+    void handleHolderChange()
     {
         if (context.lease.isHeld == wasHolder)
             return;
         wasHolder = context.lease.isHeld;
-        // While another node held it, orders and reports may have gone out.
+        // The previous holder may have sent orders and reports.
         if (context.lease.isHeld) {
             Scaling::clearOrders(orders.orders);
             resetReporter(usage.reporter);
@@ -252,7 +254,7 @@
         Common::logEvent(Common::log_level::Info, context.lease.isHeld ? "lease_taken" : "lease_lost", { { "fence", context.lease.fence.value } });
     }
 
-    void doDuties(Common::instant now)
+    void runHolderTasks(Common::instant now)
     {
         const bool mayAct = Lease::mayAct(context.lease, now);
         if (!mayAct)
@@ -265,88 +267,88 @@
 
     // --- Messages
 
-    void take(interval_seen&& message)
+    void handle(interval_seen&& message)
     {
-        for (Usage::begun_request& item : message.report.begun)
-            usage.unplaced.push_back(std::move(item));
+        for (Usage::begun_request& request : message.report.begun)
+            usage.unassigned.push_back(std::move(request));
         Scaling::recordDemand(orders.demand, message.report.demand, Common::bootClockNow());
     }
 
-    void take(demand_heard&& message)
+    void handle(demand_heard&& message)
     {
         Scaling::recordDemand(orders.demand, message.demand, Common::bootClockNow());
     }
 
-    void take(leaving_heard&& message)
+    void handle(leaving_heard&& message)
     {
         const auto change = Fleet::noteLeaving(context.endpoints, message.endpoint, message.started);
         if (!change)
             return;
-        tellEndpointChange(*change, "peer");
+        publishEndpointChange(*change, "peer");
         outlets.tellGateway(Gateway::endpoints_known { context.endpoints.endpoints });
     }
 
-    void take(newer_catalog_heard&& message)
+    void handle(newer_catalog_heard&& message)
     {
         if (context.catalog && message.version <= context.catalog->version)
             return;
         operatorWatch.wantsRefresh = true;
-        // The store may be away for this node alone, or its feed silent.
+        // The store may be unreachable from this node only, or its change feed may have stalled.
         outlets.askPeersCatalog(context.catalog ? context.catalog->version : 0);
     }
 
-    void take(catalog_text_heard&& message)
+    void handle(catalog_text_heard&& message)
     {
         Store::row item;
         item.name = { context.settings.calls.operatorTable, "", context.settings.calls.catalogKey };
         item.value = std::move(message.text);
-        adoptCatalog({ { context.settings.calls.catalogKey, std::move(item) } }, "peer");
+        applyCatalog({ { context.settings.calls.catalogKey, std::move(item) } }, "peer");
     }
 
-    void take(catalog_asked&& message)
+    void handle(catalog_asked&& message)
     {
         if (context.catalog && context.catalog->version > message.after)
             outlets.givePeerCatalog(message.peer, context.catalog->version, catalogText);
     }
 
-    void take(dead_nodes_known&& message)
+    void handle(dead_nodes_known&& message)
     {
         nodeRows.deadNodes = std::move(message.nodes);
     }
 
-    void take(leave_ended&&)
+    void handle(leave_ended&&)
     {
         removeSelf(nodeRows);
     }
 
-    void take(leave_begun&&)
+    void handle(leave_begun&&)
     {
-        noteLeaveBegun(nodeRows);
+        markSelfLeaving(nodeRows);
         context.lease.isResigning = true;
     }
 
-    void take(settings_changed&& message)
+    void handle(settings_changed&& message)
     {
         context.settings.facts.store = message.facts.store;
         context.settings.facts.cloud = message.facts.cloud;
     }
 
-    void take(Gateway::attempt_seen&& message) { perform(judge(rollouts, toObserved(message), Common::bootClockNow())); }
+    void handle(Gateway::attempt_seen&& message) { perform(evaluate(rollouts, toObservedAttempt(message), Common::bootClockNow())); }
 
-    void take(Rollout::peer_evidence&& message) { perform(judge(rollouts, std::move(message), Common::bootClockNow())); }
+    void handle(Rollout::peer_evidence&& message) { perform(evaluate(rollouts, std::move(message), Common::bootClockNow())); }
 
-    void take(Rollout::peer_latch&& message) { perform(judge(rollouts, std::move(message), Common::bootClockNow())); }
+    void handle(Rollout::peer_latch&& message) { perform(evaluate(rollouts, std::move(message), Common::bootClockNow())); }
 
-    void takeMessages()
+    void handleMessages()
     {
         inbox.drainInto(batch);
         for (control_message& message : batch)
-            std::visit([this](auto& item) { take(std::move(item)); }, message);
+            std::visit([this](auto& item) { handle(std::move(item)); }, message);
     }
 
     void step()
     {
-        takeMessages();
+        handleMessages();
         const Common::instant now = Common::bootClockNow();
         follow(operatorWatch, &implementation::operatorRowsChanged);
         follow(endpointWatch, &implementation::endpointRowsChanged);
@@ -356,10 +358,10 @@
         tickRollouts(now);
         dropMissingEndpoints(now);
         registerSelf(nodeRows, now);
-        countBegun(usage, now);
+        assignRequests(usage, now);
         writeCounts(usage, now);
-        keepLease(now);
-        doDuties(now);
+        maintainLease(now);
+        runHolderTasks(now);
     }
 };
 
@@ -369,12 +371,12 @@
     implementation& self = *m_implementation;
     self.context.settings = std::move(settings);
     self.outlets = std::move(outlets);
-    const store_pace pace = paceFor(1, self.context.settings.facts.bounds);
-    self.operatorWatch.settings = { self.context.settings.calls.operatorTable, pace.catalogWait, pace.longestRetry, {} };
-    self.endpointWatch.settings = { self.context.settings.calls.endpointTable, pace.endpointWait, pace.longestRetry, pace.endpointPause };
-    self.statusWatch.settings = { self.context.settings.calls.statusTable, statusWait, pace.longestRetry, {} };
-    self.rollouts = makeRolloutKeeper(self.context.settings.facts.bounds.exposureShare);
-    self.nodeRows.watch.settings = { nodeTable, nodesWait, pace.longestRetry, pace.nodesPause };
+    const store_call_intervals intervals = callIntervalsFor(1, self.context.settings.facts.bounds);
+    self.operatorWatch.settings = { self.context.settings.calls.operatorTable, intervals.catalogWait, intervals.longestRetry, {} };
+    self.endpointWatch.settings = { self.context.settings.calls.endpointTable, intervals.endpointWait, intervals.longestRetry, intervals.endpointBatchDelay };
+    self.statusWatch.settings = { self.context.settings.calls.statusTable, statusWait, intervals.longestRetry, {} };
+    self.rollouts = makeRolloutTracker(self.context.settings.facts.bounds.exposureShare);
+    self.nodeRows.watch.settings = { nodeTable, nodesWait, intervals.longestRetry, intervals.nodeBatchDelay };
     self.context.lease.settings.self = self.context.settings.self.node;
     self.context.lease.settings.duration = std::max(self.context.lease.settings.duration, self.context.settings.facts.bounds.lease + milliseconds(600));
     self.context.lease.lastNonce = self.context.settings.seed & ((uint64_t { 1 } << nonceBits) - 1);
--- a/Source/Core/Control/ControlDuty.h
+++ b/Source/Core/Control/ControlDuty.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// The control duty: the thread that follows the platform's store, keeps this node in it, and does what one node at a
-/// time has to do: usage reports, orders of endpoints, ends of rollouts.
+/// The control duty: the thread that follows the platform's store, keeps this node registered in it and, while the node
+/// holds the lease, does the work of the whole fleet: usage reports, orders of endpoints and the status of rollouts.
 
 #include "Control/PlatformCalls.h"
 #include "Fleet/Directory.h"
@@ -16,61 +16,61 @@
 
 namespace Control {
 
-/// What the gateway has seen in an interval.
+/// The gateway's report of one interval: begun requests and demand.
 struct interval_seen {
     Gateway::interval_report report;
 };
 
-/// What another node was asked for.
+/// Demand reported by another node.
 struct demand_heard {
     Scaling::node_demand demand;
 };
 
-/// A peer, or an endpoint itself, says that an endpoint leaves.
+/// A peer, or the endpoint itself, reports that an endpoint is leaving.
 struct leaving_heard {
     Common::endpoint_id endpoint;
     Fleet::start_time started;
 };
 
-/// A peer knows a newer catalog.
+/// A peer has announced a catalog version that may be newer than this node's.
 struct newer_catalog_heard {
     uint64_t version { 0 };
 };
 
-/// A peer gives the catalog in the platform's form.
+/// A peer has sent the catalog in the platform's format.
 struct catalog_text_heard {
     uint64_t version { 0 };
     std::string text;
 };
 
-/// A peer asks for the catalog, if it is newer than a version.
+/// A peer requests the catalog if this node has a newer version than `after`.
 struct catalog_asked {
     Common::node_id peer;
     uint64_t after { 0 };
 };
 
-/// Nodes that the peers have long found dead.
+/// All nodes that the membership protocol has considered dead for some time.
 struct dead_nodes_known {
     std::set<Common::node_id> nodes;
 };
 
-/// This node begins to leave.
+/// This node starts to drain.
 struct leave_begun { };
 
-/// This node has left: its row goes.
+/// This node has drained: its row in the store is removed.
 struct leave_ended { };
 
-/// The settings were read again.
+/// The settings file was reloaded.
 struct settings_changed {
     Fleet::node_facts facts;
 };
 
 using control_message = std::variant<interval_seen, demand_heard, leaving_heard, newer_catalog_heard, catalog_text_heard, catalog_asked, dead_nodes_known, leave_begun, leave_ended, settings_changed, Gateway::attempt_seen, Rollout::peer_evidence, Rollout::peer_latch>;
 
-/// Where the duty's findings go. None of the functions may block.
+/// Outputs of the duty, called on its thread. They must not block.
 struct control_outlets {
     std::function<void(Gateway::gateway_message&&)> tellGateway;
-    /// All registered nodes, this one included.
+    /// Receives all registered nodes, including this one.
     std::function<void(const Fleet::node_map&)> publishNodes;
     std::function<void(const Fleet::endpoint&)> tellPeersLeaving;
     std::function<void(uint64_t catalogVersion)> tellPeersCatalog;
@@ -94,12 +94,12 @@
     control_duty(const control_duty&) = delete;
     control_duty& operator=(const control_duty&) = delete;
 
-    /// Hands a message over; may be called from any thread.
-    /// @return whether the ring took it.
+    /// Queues a message. Thread-safe.
+    /// @return false when the ring is full.
     bool submit(control_message&& message);
-    /// Serves until stop().
+    /// Runs the duty on the calling thread until stop().
     void run();
-    /// Ends run(); may be called from any thread.
+    /// Ends run(). Thread-safe.
     void stop();
 
 private:
--- a/Source/Core/Control/EndpointOrders.cpp
+++ b/Source/Core/Control/EndpointOrders.cpp
@@ -8,58 +8,58 @@
 namespace {
 
     constexpr milliseconds planInterval { 300 };
-    /// Endpoints write their entries about every second.
-    constexpr milliseconds entryInterval { 1300 };
-    constexpr size_t loggedAnswerBytes = 100;
+    /// Upper bound of the interval at which endpoints write their entries, which is about one second.
+    constexpr milliseconds entryWriteInterval { 1300 };
+    constexpr size_t maxLoggedAnswerBytes = 100;
 
-    void logPlan(const endpoint_orders& item, Common::instant now)
+    void logPlan(const endpoint_orders& ordering, Common::instant now)
     {
-        nlohmann::json numbers = nlohmann::json::object();
-        for (const auto& [target, count] : item.memory.wanted)
-            numbers[target.zone.value + (target.isReclaimable ? "/reclaimable" : "/plain")] = count;
+        nlohmann::json counts = nlohmann::json::object();
+        for (const auto& [target, count] : ordering.planState.wanted)
+            counts[target.zone.value + (target.isReclaimable ? "/reclaimable" : "/plain")] = count;
         nlohmann::json busy = nlohmann::json::object();
-        for (const auto& [name, nodes] : item.demand.services) {
-            for (const auto& [zone, level] : Scaling::demandByZone(item.demand, name, now))
+        for (const auto& [name, nodes] : ordering.demand.services) {
+            for (const auto& [zone, level] : Scaling::demandByZone(ordering.demand, name, now))
                 busy[name.value + "/" + zone.value] = level.value;
         }
-        Common::logEvent(Common::log_level::Info, "endpoints_planned", { { "wanted", std::move(numbers) }, { "busy_engines", std::move(busy) } });
+        Common::logEvent(Common::log_level::Info, "endpoints_planned", { { "wanted", std::move(counts) }, { "busy_engines", std::move(busy) } });
     }
 
-    void planAll(endpoint_orders& item, Common::instant now)
+    void planAll(endpoint_orders& ordering, Common::instant now)
     {
-        const store_pace pace = paceFor(item.context.nodes.size(), item.context.settings.facts.bounds);
-        const Scaling::wanted_map before = item.memory.wanted;
-        const Scaling::wanted_map wanted = Scaling::planServices(*item.context.catalog, item.context.endpoints.endpoints, item.demand, item.orders, item.memory, entryInterval + pace.endpointPause, now);
+        const store_call_intervals intervals = callIntervalsFor(ordering.context.nodes.size(), ordering.context.settings.facts.bounds);
+        const Scaling::wanted_map before = ordering.planState.wanted;
+        const Scaling::wanted_map wanted = Scaling::planServices(*ordering.context.catalog, ordering.context.endpoints.endpoints, ordering.demand, ordering.orders, ordering.planState, entryWriteInterval + intervals.endpointBatchDelay, now);
         if (wanted != before)
-            logPlan(item, now);
+            logPlan(ordering, now);
     }
 
-    void takeOrderAnswer(endpoint_orders& item, const Scaling::order& order, const Http::transfer_answer& answer)
+    void handleOrderAnswer(endpoint_orders& ordering, const Scaling::order& order, const Http::transfer_answer& answer)
     {
-        const Scaling::order_outcome outcome = item.context.settings.calls.dutyAnswer(answer);
-        Common::logEvent(Common::log_level::Info, "endpoints_ordered", { { "service", order.service.value }, { "zone", order.zone.value }, { "reclaimable", order.isReclaimable }, { "desired", order.desired }, { "status", answer.status }, { "answer", answer.body.substr(0, loggedAnswerBytes) } });
-        // An order of unknown fate may be carried out later: the next one needs a higher token to prevail.
+        const Scaling::order_outcome outcome = ordering.context.settings.calls.dutyAnswer(answer);
+        Common::logEvent(Common::log_level::Info, "endpoints_ordered", { { "service", order.service.value }, { "zone", order.zone.value }, { "reclaimable", order.isReclaimable }, { "desired", order.desired }, { "status", answer.status }, { "answer", answer.body.substr(0, maxLoggedAnswerBytes) } });
+        // An order without an answer may still be executed later. The next order needs a higher token to override it.
         if (outcome == Scaling::order_outcome::Fenced || outcome == Scaling::order_outcome::Unknown)
-            Lease::raiseFence(item.context.lease, Common::bootClockNow());
-        Scaling::applyOutcome(item.orders, outcome, Common::bootClockNow());
+            Lease::raiseFence(ordering.context.lease, Common::bootClockNow());
+        Scaling::applyOutcome(ordering.orders, outcome, Common::bootClockNow());
     }
 
 } // namespace
 
-void orderEndpoints(endpoint_orders& item, Common::instant now)
+void orderEndpoints(endpoint_orders& ordering, Common::instant now)
 {
-    control_context& context = item.context;
+    control_context& context = ordering.context;
     if (!context.catalog || !context.settings.facts.cloud.wantsScaling)
         return;
-    if (now >= item.nextPlan) {
-        item.nextPlan = now + planInterval;
-        planAll(item, now);
+    if (now >= ordering.nextPlan) {
+        ordering.nextPlan = now + planInterval;
+        planAll(ordering, now);
     }
-    const auto order = Scaling::nextOrder(item.orders, item.memory.wanted, now);
+    const auto order = Scaling::nextOrder(ordering.orders, ordering.planState.wanted, now);
     if (!order)
         return;
-    context.client.start(context.settings.calls.order(context.settings.facts.cloud.address, context.giver(), *order),
-        [&item, order](const Http::transfer_answer& answer) { takeOrderAnswer(item, *order, answer); });
+    context.client.start(context.settings.calls.order(context.settings.facts.cloud.address, context.issuer(), *order),
+        [&ordering, order](const Http::transfer_answer& answer) { handleOrderAnswer(ordering, *order, answer); });
 }
 
 } // namespace Control
--- a/Source/Core/Control/EndpointOrders.h
+++ b/Source/Core/Control/EndpointOrders.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Orders of endpoints by the holder of the lease.
+/// Plans and orders endpoints while this node holds the lease.
 
 #include "Control/ControlContext.h"
 #include "Scaling/Plan.h"
@@ -11,12 +11,12 @@
 struct endpoint_orders {
     control_context& context;
     Scaling::demand_tracker demand {};
-    Scaling::plan_state memory {};
+    Scaling::plan_state planState {};
     Scaling::order_tracker orders {};
     Common::instant nextPlan {};
 };
 
-/// Plans anew when it is time, and gives the next order; only the holder of the lease may.
-void orderEndpoints(endpoint_orders& item, Common::instant now);
+/// Updates the plan when it is due and sends the next order. Only the lease holder may call this.
+void orderEndpoints(endpoint_orders& ordering, Common::instant now);
 
 } // namespace Control
--- a/Source/Core/Control/NodeRows.cpp
+++ b/Source/Core/Control/NodeRows.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-    constexpr milliseconds registerPause { 300 };
+    constexpr milliseconds registerRetryDelay { 300 };
 
-    Store::row_name rowOf(const node_rows& rows, const Common::node_id& node)
+    Store::row_name nodeRowName(const node_rows& rows, const Common::node_id& node)
     {
         return { rows.watch.settings.table, "", node.value };
     }
@@ -22,7 +22,7 @@
     context.nodes.clear();
     for (const auto& [key, item] : rows.watch.rows)
         context.nodes[{ key }] = Fleet::decodeNode({ key }, item.value);
-    // Another node has taken this one for dead.
+    // Another node has removed the row because it considered this node dead: register again.
     if (rows.isRegistered && !context.nodes.contains(context.settings.self.node))
         rows.isRegistered = false;
 }
@@ -37,16 +37,16 @@
     self.isLeaving = rows.isLeaving;
     self.clockOffset = Common::wallClockMilliseconds() - trueTimeAt(*context.storeClock, 0, now).value;
     Store::transaction write;
-    write.writes.push_back({ rowOf(rows, self.node), Fleet::encodeNode(self) });
-    const bool told = rows.isLeaving;
-    context.commit(write, [&rows, told](const Store::rows_answer& answer) {
+    write.writes.push_back({ nodeRowName(rows, self.node), Fleet::encodeNode(self) });
+    const bool wroteLeaving = rows.isLeaving;
+    context.commit(write, [&rows, wroteLeaving](const Store::rows_answer& answer) {
         rows.isRegistering = false;
-        rows.isRegistered = answer.outcome == Store::call_outcome::Done && told == rows.isLeaving;
-        rows.nextRegistration = Common::bootClockNow() + registerPause;
+        rows.isRegistered = answer.outcome == Store::call_outcome::Done && wroteLeaving == rows.isLeaving;
+        rows.nextRegistration = Common::bootClockNow() + registerRetryDelay;
     });
 }
 
-void noteLeaveBegun(node_rows& rows)
+void markSelfLeaving(node_rows& rows)
 {
     rows.isLeaving = true;
     rows.isRegistered = false;
@@ -57,7 +57,7 @@
 {
     rows.hasLeft = true;
     Store::transaction write;
-    write.removals.push_back(rowOf(rows, rows.context.settings.self.node));
+    write.removals.push_back(nodeRowName(rows, rows.context.settings.self.node));
     rows.context.commit(write, [](const Store::rows_answer&) {});
 }
 
--- a/Source/Core/Control/NodeRows.h
+++ b/Source/Core/Control/NodeRows.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The rows of nodes in the store: this node's own, and those of nodes that ended without removing theirs.
+/// The nodes' rows in the store: writes this node's own row and removes those of dead nodes.
 
 #include "Control/ControlContext.h"
 #include "Store/TableWatch.h"
@@ -13,29 +13,29 @@
 struct node_rows {
     control_context& context;
     Store::table_watch watch {}; ///< The table of all nodes.
-    bool isRegistered { false }; ///< The store has this node's row as it is now.
-    bool isRegistering { false };
+    bool isRegistered { false }; ///< The store has this node's current row.
+    bool isRegistering { false }; ///< A write of this node's row is in progress.
     bool isLeaving { false };
-    bool hasLeft { false }; ///< The row is gone for good.
+    bool hasLeft { false }; ///< The row was removed and must not be written again.
     Common::instant nextRegistration {};
-    std::set<Common::node_id> deadNodes {}; ///< As the peers see them.
+    std::set<Common::node_id> deadNodes {}; ///< According to the membership protocol.
     bool isRemovingNode { false };
 };
 
-/// The table has changed: brings the list of nodes up to date.
+/// Updates the list of nodes after a change of the table.
 void readNodeRows(node_rows& rows);
 
-/// Writes this node's row when the store doesn't have it.
+/// Writes this node's row if the store doesn't have its current state.
 void registerSelf(node_rows& rows, Common::instant now);
 
-/// Tells the store that this node begins to leave.
-void noteLeaveBegun(node_rows& rows);
+/// Marks this node as leaving; registerSelf() then writes the new state to the store.
+void markSelfLeaving(node_rows& rows);
 
-/// Removes this node's row for good.
+/// Removes this node's row. It is not registered again.
 void removeSelf(node_rows& rows);
 
-/// Removes the row of a dead node; only the holder of the lease may. Rows of nodes that ended without a word would hold
-/// back their share of the allowances for good.
+/// Removes the row of one dead node. Only the lease holder may call this. The row of a node that crashed would
+/// otherwise reserve its share of the allowances forever.
 void removeDeadNodes(node_rows& rows);
 
 } // namespace Control
--- a/Source/Core/Control/Pace.h
+++ b/Source/Core/Control/Pace.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// How often a node calls the platform's store. Every node makes these calls, so with more nodes each makes fewer. Pure.
+/// Intervals of a node's calls to the platform's store. Every node makes these calls, so the intervals grow with the
+/// number of nodes to limit the total rate. Pure: no clock, no socket.
 
 #include "Fleet/NodeFacts.h"
 
@@ -11,23 +12,23 @@
 
 using std::chrono::milliseconds;
 
-struct store_pace {
-    milliseconds catalogWait { 0 }; ///< Longest wait of the feed of the operator's table.
-    milliseconds endpointWait { 0 }; ///< Longest wait of the feed of endpoints.
-    milliseconds endpointPause { 0 }; ///< After changes of endpoints, so that several come in one answer.
-    milliseconds nodesPause { 0 }; ///< The same for nodes.
-    milliseconds longestRetry { 0 }; ///< Of a feed while the store doesn't answer.
-    milliseconds countInterval { 0 }; ///< Between two writes of the counts of a window that is not over.
+struct store_call_intervals {
+    milliseconds catalogWait { 0 }; ///< Maximum long-poll wait for changes of the operator's table.
+    milliseconds endpointWait { 0 }; ///< Maximum long-poll wait for changes of the endpoint table.
+    milliseconds endpointBatchDelay { 0 }; ///< Delay after a change until the next poll, to batch changes.
+    milliseconds nodeBatchDelay { 0 }; ///< The same for the node table.
+    milliseconds longestRetry { 0 }; ///< Maximum retry delay of a poll while the store doesn't answer.
+    milliseconds countInterval { 0 }; ///< Between two writes of the usage counts of an open window.
 };
 
-/// @param nodes in the store's list, this one included.
-/// @param bounds the bounds that hold for the nodes.
-/// @return the pace of each of them.
-store_pace paceFor(size_t nodes, const Fleet::service_bounds& bounds);
+/// @param nodes number of registered nodes, including this one.
+/// @param bounds service bounds of the fleet.
+/// @return the intervals for each node.
+store_call_intervals callIntervalsFor(size_t nodes, const Fleet::service_bounds& bounds);
 
-/// @param interval of a single node.
-/// @param nodes how many there are.
-/// @return the interval of each of so many nodes.
-milliseconds stretched(milliseconds interval, size_t nodes);
+/// @param interval interval for a small fleet.
+/// @param nodes number of nodes.
+/// @return the interval for each node, which grows in steps with the number of nodes.
+milliseconds scaledInterval(milliseconds interval, size_t nodes);
 
 } // namespace Control
--- a/Source/Core/Control/RolloutKeeper.h
+++ b/Source/Core/Control/RolloutKeeper.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// From operators' orders of rollouts to the product's judgement of versions and back to the reported state. Pure: no
-/// clock, no socket.
+/// Passes operators' rollout orders to the evaluation of versions (Rollout/), and its results back as the status to
+/// report. Pure: no clock, no socket.
 
 #include "Control/PlatformCalls.h"
 #include "Gateway/GatewayDuty.h"
@@ -13,46 +13,48 @@
 
 namespace Control {
 
-/// One rollout as this node knows it.
-struct kept_rollout {
+/// State of one rollout at this node.
+struct tracked_rollout {
     rollout_order order;
-    Store::row_version orderVersion; ///< A new order for the same version is a new rollout.
-    Common::instant seenAt;
-    std::optional<rollout_status> reported; ///< As the store tells it.
-    std::optional<rollout_status> proposed; ///< As this node judges it.
-    bool isReporting { false };
+    Store::row_version orderVersion; ///< Of the order's row: a new order for the same version starts a new rollout.
+    Common::instant seenAt; ///< Start of the order's time limit.
+    std::optional<rollout_status> reported; ///< Status in the store.
+    std::optional<rollout_status> proposed; ///< Result of this node's evaluation.
+    bool isReporting { false }; ///< A write of the status is in progress.
 };
 
-struct rollout_keeper {
-    std::map<Common::service_name, kept_rollout> rollouts;
-    Rollout::rollout_state judgement;
+struct rollout_tracker {
+    std::map<Common::service_name, tracked_rollout> rollouts;
+    Rollout::rollout_state evaluation;
 };
 
-/// @return a keeper whose stages expose little until a version takes over.
-/// @param exposureShare most of a service's requests that a bad version may get.
-rollout_keeper makeRolloutKeeper(double exposureShare);
-
-/// What the keeper wants done.
-using keeper_actions = std::vector<Rollout::rollout_action>;
-
-/// Takes the orders in force.
-keeper_actions noteOrders(rollout_keeper& keeper, const std::vector<rollout_order>& orders, const std::map<std::string, Store::row>& operatorRows, Common::instant now);
-/// Takes the state of a rollout that is reported in the store.
-keeper_actions noteReported(rollout_keeper& keeper, const Common::service_name& service, rollout_status status, Common::instant now);
-/// Passes a message on to the judgement.
-keeper_actions judge(rollout_keeper& keeper, Rollout::rollout_message&& message, Common::instant now);
-/// A judgement is an end to report.
-void noteProposal(rollout_keeper& keeper, const Rollout::propose_end& end);
-
-/// @param keeper the rollouts.
-/// @return the next state that the lease's holder has to report, if any; it counts as under way.
-std::optional<kept_rollout> nextReport(rollout_keeper& keeper);
-
-/// @param item an attempt that the gateway saw.
-/// @return the same for the judgement.
-Rollout::attempt_observed toObserved(const Gateway::attempt_seen& item);
-
-/// @return whether any rollout is under way.
-bool isActive(const rollout_keeper& keeper);
+/// @param exposureShare maximum share of a service's requests that a bad version may receive, 0 to 1.
+/// @return a tracker without rollouts, whose stages stay below the share until a version takes over.
+rollout_tracker makeRolloutTracker(double exposureShare);
+
+/// Actions that the caller has to perform.
+using rollout_actions = std::vector<Rollout::rollout_action>;
+
+/// Applies the current orders, and starts those that are new.
+/// @param operatorRows rows that the orders were read from.
+rollout_actions applyOrders(rollout_tracker& tracker, const std::vector<rollout_order>& orders, const std::map<std::string, Store::row>& operatorRows, Common::instant now);
+/// Applies the status of a rollout that the store has.
+rollout_actions applyReportedStatus(rollout_tracker& tracker, const Common::service_name& service, rollout_status status, Common::instant now);
+/// Passes a message to the evaluation.
+rollout_actions evaluate(rollout_tracker& tracker, Rollout::rollout_message&& message, Common::instant now);
+/// Stores the result of the evaluation, to be reported.
+void recordProposal(rollout_tracker& tracker, const Rollout::propose_end& end);
+
+/// @param tracker the rollouts.
+/// @return the next rollout whose `proposed` status the lease holder has to write to the store, if any. It counts as
+/// being reported until `isReporting` is reset.
+std::optional<tracked_rollout> nextReport(rollout_tracker& tracker);
+
+/// @param attempt an event of an attempt, reported by the gateway.
+/// @return the same event in the form that the evaluation takes.
+Rollout::attempt_observed toObservedAttempt(const Gateway::attempt_seen& attempt);
+
+/// @return whether any rollout is in progress.
+bool isActive(const rollout_tracker& tracker);
 
 } // namespace Control
--- a/Source/Core/Control/Tests/ControlTest.cpp
+++ b/Source/Core/Control/Tests/ControlTest.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Usage reports, true time and rollouts as the control duty keeps them.
+/// Usage reports, intervals of store calls, true time and rollouts of the control duty.
 
 #include "Control/Pace.h"
 #include "Control/RolloutKeeper.h"
@@ -48,26 +48,26 @@
 TEST(UsageReporter, CountsOfAllNodesAreWrittenBeforeTheyAreSent)
 {
     usage_reporter reporter;
-    reporter.lastBegun = Usage::window_number { 99 };
+    reporter.newestAdded = Usage::window_number { 99 };
     const int64_t now = 101 * windowMs + 2700;
     const auto read = expectStep<read_counts>(reporter, now);
     CHECK_EQUAL(100, read.window.value);
-    takeCounts(reporter, read.window, makeAnswer(Store::call_outcome::Done, { makeCounts(read.window, "a", 3), makeCounts(read.window, "b", 4) }), at(now));
+    handleCounts(reporter, read.window, makeAnswer(Store::call_outcome::Done, { makeCounts(read.window, "a", 3), makeCounts(read.window, "b", 4) }), at(now));
     const auto record = expectStep<record_report>(reporter, now);
     CHECK_EQUAL(0, record.transaction.conditions.front().version.value);
-    takeRecorded(reporter, record.window, makeAnswer(Store::call_outcome::Done), at(now));
+    handleRecorded(reporter, record.window, makeAnswer(Store::call_outcome::Done), at(now));
     const auto send = expectStep<send_report>(reporter, now);
     CHECK_EQUAL(7, send.counts.at({ "clerks" }));
-    takeSent(reporter, send.window, true, at(now));
+    handleSent(reporter, send.window, true, at(now));
     CHECK(!nextStep(reporter, { now }, at(now)).has_value());
 }
 
-TEST(UsageReporter, ANodeThatStartsAgainDoesNotOverwriteItsEarlierCounts)
+TEST(UsageReporter, ARestartedNodeDoesNotOverwriteItsEarlierCounts)
 {
     const Usage::window_number window { 100 };
     CHECK(countRow(window, { "a" }, { 1 }) != countRow(window, { "a" }, { 2 }));
     usage_reporter reporter;
-    reporter.lastBegun = Usage::window_number { 99 };
+    reporter.newestAdded = Usage::window_number { 99 };
     const auto read = expectStep<read_counts>(reporter, 101 * windowMs + 2700);
     for (const uint64_t incarnation : { 1U, 2U }) {
         const std::string key = countRow(window, { "a" }, { incarnation }).key;
@@ -76,45 +76,46 @@
     }
 }
 
-TEST(UsageReporter, AnEarlierHoldersReportGoesFirst)
+TEST(UsageReporter, TheReportOfAPreviousHolderIsSent)
 {
     usage_reporter reporter;
-    reporter.lastBegun = Usage::window_number { 99 };
+    reporter.newestAdded = Usage::window_number { 99 };
     const int64_t now = 101 * windowMs + 2700;
     const auto read = expectStep<read_counts>(reporter, now);
-    takeCounts(reporter, read.window, makeAnswer(Store::call_outcome::Done, { makeCounts(read.window, "a", 3) }), at(now));
+    handleCounts(reporter, read.window, makeAnswer(Store::call_outcome::Done, { makeCounts(read.window, "a", 3) }), at(now));
     const auto record = expectStep<record_report>(reporter, now);
     const Store::row earlier { record.transaction.writes.front().name, Usage::encodeCounts({ { { "clerks" }, 5 } }), { 8 }, false };
-    takeRecorded(reporter, record.window, makeAnswer(Store::call_outcome::ConditionFailed, { earlier }), at(now));
+    handleRecorded(reporter, record.window, makeAnswer(Store::call_outcome::ConditionFailed, { earlier }), at(now));
     CHECK_EQUAL(5, expectStep<send_report>(reporter, now).counts.at({ "clerks" }));
 }
 
-TEST(UsageReporter, AFailedStepIsTriedAgainWhileItIsInTime)
+TEST(UsageReporter, AFailedStepIsRetriedWhileInTime)
 {
     const Store::call_outcome outcomes[] = { Store::call_outcome::Refused, Store::call_outcome::Unknown };
     for (const auto outcome : outcomes) {
         usage_reporter reporter;
-        reporter.lastBegun = Usage::window_number { 99 };
+        reporter.newestAdded = Usage::window_number { 99 };
         int64_t now = 101 * windowMs + 2700;
         const auto read = expectStep<read_counts>(reporter, now);
-        takeCounts(reporter, read.window, makeAnswer(outcome), at(now));
+        handleCounts(reporter, read.window, makeAnswer(outcome), at(now));
         CHECK(!nextStep(reporter, { now }, at(now)).has_value());
         now += 500;
         CHECK_EQUAL(100, expectStep<read_counts>(reporter, now).window.value);
-        takeCounts(reporter, read.window, makeAnswer(outcome), at(now));
-        // The report would be late: its window is given up, the next ones go on.
+        handleCounts(reporter, read.window, makeAnswer(outcome), at(now));
+        // The report would be late: its window is dropped, and the next windows are reported.
         now = 101 * windowMs + 10000;
         CHECK(expectStep<read_counts>(reporter, now).window.value > 100);
     }
 }
 
-TEST(UsageReporter, NoTransactionHoldsMoreEntriesThanTheStoreTakes)
+TEST(UsageReporter, NoTransactionExceedsTheEntryLimitOfTheStore)
 {
-    // The load: many nodes, several of which started again within a window and wrote rows of each process.
-    constexpr size_t mostEntries = 100;
-    constexpr int rowsOfAWindow = 250;
+    // Many nodes restart within a window, and each process writes its own row: there are more obsolete rows than the
+    // store accepts in one transaction.
+    constexpr size_t maxEntries = 100;
+    constexpr int rowsPerWindow = 250;
     usage_reporter reporter;
-    reporter.lastBegun = Usage::window_number { 99 };
+    reporter.newestAdded = Usage::window_number { 99 };
     size_t removed = 0;
     for (int64_t now = 101 * windowMs + 2700; now < 140 * windowMs; now += 100) {
         const auto step = nextStep(reporter, { now }, at(now));
@@ -122,36 +123,36 @@
             continue;
         if (const auto* read = std::get_if<read_counts>(&*step)) {
             std::vector<Store::row> rows;
-            for (int node = 0; node < rowsOfAWindow; ++node)
+            for (int node = 0; node < rowsPerWindow; ++node)
                 rows.push_back(makeCounts(read->window, std::to_string(node).c_str(), 1));
-            takeCounts(reporter, read->window, makeAnswer(Store::call_outcome::Done, rows), at(now));
+            handleCounts(reporter, read->window, makeAnswer(Store::call_outcome::Done, rows), at(now));
         } else if (const auto* record = std::get_if<record_report>(&*step)) {
-            CHECK(record->transaction.conditions.size() + record->transaction.writes.size() + record->transaction.removals.size() <= mostEntries);
+            CHECK(record->transaction.conditions.size() + record->transaction.writes.size() + record->transaction.removals.size() <= maxEntries);
             removed += record->transaction.removals.size();
-            takeRecorded(reporter, record->window, makeAnswer(Store::call_outcome::Done), at(now));
-        } else if (const auto* forget = std::get_if<forget_rows>(&*step)) {
-            CHECK(forget->transaction.removals.size() <= mostEntries);
-            removed += forget->transaction.removals.size();
-            takeForgotten(reporter, *forget, makeAnswer(Store::call_outcome::Done));
+            handleRecorded(reporter, record->window, makeAnswer(Store::call_outcome::Done), at(now));
+        } else if (const auto* removal = std::get_if<remove_rows>(&*step)) {
+            CHECK(removal->transaction.removals.size() <= maxEntries);
+            removed += removal->transaction.removals.size();
+            handleRemoved(reporter, *removal, makeAnswer(Store::call_outcome::Done));
         } else {
-            takeSent(reporter, std::get<send_report>(*step).window, true, at(now));
+            handleSent(reporter, std::get<send_report>(*step).window, true, at(now));
         }
     }
-    CHECK(reporter.obsolete.size() < rowsOfAWindow);
-    CHECK(removed >= 36 * rowsOfAWindow);
+    CHECK(reporter.obsolete.size() < rowsPerWindow);
+    CHECK(removed >= 36 * rowsPerWindow);
 }
 
-TEST(UsageReporter, CountsThatCannotBeReadAreLeftOut)
+TEST(UsageReporter, UnreadableCountsAreRejected)
 {
     for (const char* text : { "", "[1]", "{\"a\":-1}", "{\"a\":\"x\"}" })
         CHECK(!Usage::decodeCounts(text).has_value());
 }
 
-TEST_GROUP(Pace) {};
+TEST_GROUP(StoreCallIntervals) {};
 
-TEST(Pace, CallsOfAllNodesStayFarBelowTheRatesAndInTheBounds)
+TEST(StoreCallIntervals, CallsOfAllNodesStayBelowAQuarterOfTheRateLimits)
 {
-    // The rates of the store that the letter's larger deployments state.
+    // Rate limits of the store in the larger deployments.
     constexpr double readsPerSecond = 6000;
     constexpr double writesPerSecond = 1200;
     Fleet::service_bounds bounds;
@@ -160,18 +161,18 @@
     const auto perSecond = [](size_t nodes, milliseconds interval) { return static_cast<double>(nodes) * 1000 / static_cast<double>(interval.count()); };
     double before = 0;
     for (const size_t nodes : { 3, 7, 20, 82, 200, 400 }) {
-        const store_pace pace = paceFor(nodes, bounds);
-        // The worst moment: endpoints change all the time.
-        const double reads = perSecond(nodes, pace.catalogWait) + perSecond(nodes, std::min(pace.endpointPause, pace.endpointWait));
-        const double writes = perSecond(nodes, bounds.usageWindow) + (pace.countInterval < bounds.usageWindow ? perSecond(nodes, pace.countInterval) : 0);
-        // Operators' table, endpoints, nodes.
+        const store_call_intervals intervals = callIntervalsFor(nodes, bounds);
+        // Worst case: endpoints change all the time.
+        const double reads = perSecond(nodes, intervals.catalogWait) + perSecond(nodes, std::min(intervals.endpointBatchDelay, intervals.endpointWait));
+        const double writes = perSecond(nodes, bounds.usageWindow) + (intervals.countInterval < bounds.usageWindow ? perSecond(nodes, intervals.countInterval) : 0);
+        // Operator's table, endpoints, nodes.
         constexpr double tables = 3;
         CHECK(reads < readsPerSecond / 4);
-        CHECK(tables * perSecond(nodes, pace.longestRetry) < readsPerSecond / 4);
+        CHECK(tables * perSecond(nodes, intervals.longestRetry) < readsPerSecond / 4);
         CHECK(writes < writesPerSecond / 4);
-        CHECK(pace.endpointPause <= bounds.drain / 2);
-        CHECK(pace.catalogWait >= milliseconds(1500));
-        // More nodes never make more calls each.
+        CHECK(intervals.endpointBatchDelay <= bounds.drain / 2);
+        CHECK(intervals.catalogWait >= milliseconds(1500));
+        // Calls per node don't increase with the number of nodes.
         constexpr double rounding = 1e-9;
         CHECK(before == 0 || reads / static_cast<double>(nodes) <= before + rounding);
         before = reads / static_cast<double>(nodes);
@@ -180,7 +181,7 @@
 
 TEST_GROUP(TrueTime) {};
 
-TEST(TrueTime, ANodeWhoseTimeOfDayJumpedIsOutvoted)
+TEST(TrueTime, TheMedianIgnoresANodeWhoseWallClockJumped)
 {
     struct row {
         std::vector<int64_t> offsets;
@@ -197,20 +198,20 @@
     CHECK_EQUAL(1750, trueTimeAt({ { 500 }, at(0) }, 1000, at(250)).value);
 }
 
-TEST_GROUP(RolloutKeeper) {};
+TEST_GROUP(RolloutTracker) {};
 
 namespace {
 
 constexpr int64_t orderMs = 12000;
 
-struct played_rollout {
-    rollout_keeper keeper { makeRolloutKeeper(0.1) };
+struct simulated_rollout {
+    rollout_tracker tracker { makeRolloutTracker(0.1) };
     uint32_t share { 0 };
-    uint64_t toFresh { 0 };
-    uint64_t all { 0 };
-    double carried { 0 };
+    uint64_t newVersionRequests { 0 };
+    uint64_t totalRequests { 0 };
+    double shareRemainder { 0 };
 
-    void take(const keeper_actions& actions)
+    void apply(const rollout_actions& actions)
     {
         for (const Rollout::rollout_action& action : actions) {
             if (const auto* shares = std::get_if<Rollout::publish_shares>(&action)) {
@@ -218,47 +219,47 @@
                     share = thousandths;
             }
             if (const auto* end = std::get_if<Rollout::propose_end>(&action))
-                noteProposal(keeper, *end);
+                recordProposal(tracker, *end);
         }
     }
 
     void order()
     {
         const std::map<std::string, Store::row> rows { { "rollout/s", { { "op", "", "rollout/s" }, "", { 5 }, false } } };
-        take(noteOrders(keeper, { { { "s" }, { "v2" }, milliseconds(orderMs) } }, rows, at(0)));
+        apply(applyOrders(tracker, { { { "s" }, { "v2" }, milliseconds(orderMs) } }, rows, at(0)));
     }
 
     void observe(const char* version, bool isGood, int64_t now)
     {
-        for (const auto what : { Gateway::attempt_seen::event::Begun, isGood ? Gateway::attempt_seen::event::Good : Gateway::attempt_seen::event::Failed })
-            take(judge(keeper, toObserved({ { "s" }, { version }, { "r" }, what }), at(now)));
+        for (const auto event : { Gateway::attempt_seen::event::Begun, isGood ? Gateway::attempt_seen::event::Good : Gateway::attempt_seen::event::Failed })
+            apply(evaluate(tracker, toObservedAttempt({ { "s" }, { version }, { "r" }, event }), at(now)));
     }
 
-    /// @param badFrom when the fresh version turns bad.
-    void play(int64_t badFrom)
+    /// @param badFrom time from which the new version fails, in milliseconds.
+    void simulate(int64_t badFrom)
     {
         constexpr int64_t requestIntervalMs = 20;
         order();
         for (int64_t now = 0; now < orderMs; now += requestIntervalMs) {
             if (now % 200 == 0)
-                take(judge(keeper, Rollout::rollout_tick {}, at(now)));
-            ++all;
-            carried += share / 1000.0;
-            const bool isFresh = carried >= 1;
-            if (isFresh) {
-                carried -= 1;
-                ++toFresh;
+                apply(evaluate(tracker, Rollout::rollout_tick {}, at(now)));
+            ++totalRequests;
+            shareRemainder += share / 1000.0;
+            const bool isNewVersion = shareRemainder >= 1;
+            if (isNewVersion) {
+                shareRemainder -= 1;
+                ++newVersionRequests;
             }
-            observe(isFresh ? "v2" : "v1", !isFresh || now < badFrom || now % 40 == 0, now);
+            observe(isNewVersion ? "v2" : "v1", !isNewVersion || now < badFrom || now % 40 == 0, now);
         }
     }
 
-    std::optional<rollout_status> proposed() const { return keeper.rollouts.begin()->second.proposed; }
+    std::optional<rollout_status> proposed() const { return tracker.rollouts.begin()->second.proposed; }
 };
 
 } // namespace
 
-TEST(RolloutKeeper, GoodVersionsTakeOverInTimeAndBadOnesAreTakenBackBarelyExposed)
+TEST(RolloutTracker, GoodVersionsTakeOverAndBadOnesAreRevertedWithinTheExposureShare)
 {
     struct row {
         int64_t badFrom;
@@ -271,40 +272,40 @@
         { 6000, rollout_status::Reverted },
     };
     for (const row& item : rows) {
-        played_rollout played;
-        played.play(item.badFrom);
-        CHECK(played.proposed() == item.end);
+        simulated_rollout simulation;
+        simulation.simulate(item.badFrom);
+        CHECK(simulation.proposed() == item.end);
         if (item.end == rollout_status::Completed) {
-            CHECK_EQUAL(1000, played.share);
+            CHECK_EQUAL(1000, simulation.share);
             continue;
         }
-        CHECK_EQUAL(0, played.share);
-        CHECK(played.toFresh <= 0.1 * static_cast<double>(played.all) + 50);
+        CHECK_EQUAL(0, simulation.share);
+        CHECK(simulation.newVersionRequests <= 0.1 * static_cast<double>(simulation.totalRequests) + 50);
     }
 }
 
-TEST(RolloutKeeper, TheStateIsReportedStepByStep)
+TEST(RolloutTracker, EachStatusIsReportedOnce)
 {
-    played_rollout played;
-    played.order();
-    auto report = nextReport(played.keeper);
+    simulated_rollout simulation;
+    simulation.order();
+    auto report = nextReport(simulation.tracker);
     CHECK(report->proposed == rollout_status::InProgress);
-    CHECK(!nextReport(played.keeper).has_value());
-    played.keeper.rollouts.begin()->second.isReporting = false;
-    noteReported(played.keeper, { "s" }, rollout_status::InProgress, at(10));
-    CHECK(!nextReport(played.keeper).has_value());
-    played.keeper.rollouts.begin()->second.proposed = rollout_status::Reverted;
-    CHECK(nextReport(played.keeper)->proposed == rollout_status::Reverted);
-    played.take(noteReported(played.keeper, { "s" }, rollout_status::Reverted, at(20)));
-    CHECK_EQUAL(0, played.share);
-    CHECK(!isActive(played.keeper));
+    CHECK(!nextReport(simulation.tracker).has_value());
+    simulation.tracker.rollouts.begin()->second.isReporting = false;
+    applyReportedStatus(simulation.tracker, { "s" }, rollout_status::InProgress, at(10));
+    CHECK(!nextReport(simulation.tracker).has_value());
+    simulation.tracker.rollouts.begin()->second.proposed = rollout_status::Reverted;
+    CHECK(nextReport(simulation.tracker)->proposed == rollout_status::Reverted);
+    simulation.apply(applyReportedStatus(simulation.tracker, { "s" }, rollout_status::Reverted, at(20)));
+    CHECK_EQUAL(0, simulation.share);
+    CHECK(!isActive(simulation.tracker));
 }
 
-TEST(RolloutKeeper, AnotherNodesLatchHoldsHere)
+TEST(RolloutTracker, ALatchOfAnotherNodeApplies)
 {
-    played_rollout played;
-    played.order();
-    CHECK(played.share > 0);
-    played.take(judge(played.keeper, Rollout::peer_latch { { "s", { "v2" } }, "failing" }, at(100)));
-    CHECK_EQUAL(0, played.share);
+    simulated_rollout simulation;
+    simulation.order();
+    CHECK(simulation.share > 0);
+    simulation.apply(evaluate(simulation.tracker, Rollout::peer_latch { { "s", { "v2" } }, "failing" }, at(100)));
+    CHECK_EQUAL(0, simulation.share);
 }
--- a/Source/Core/Control/TrueTime.h
+++ b/Source/Core/Control/TrueTime.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// True time without trust in one machine's time of day: the median over the nodes of how far their time of day lies
-/// ahead of the store's steady clock. Pure: no clock, no socket.
+/// True time that doesn't depend on a single machine's wall clock: the store's steady clock plus the median offset of
+/// the nodes' wall clocks to it. Pure: no clock, no socket.
 
 #include "Store/Rows.h"
 #include "Usage/Usage.h"
@@ -12,20 +12,20 @@
 
 namespace Control {
 
-/// The store's clock read at a local moment.
+/// A reading of the store's clock, with the local time at which it was received.
 struct store_reading {
     Store::store_time storeNow;
     Common::instant localNow;
 };
 
-/// @param offsets milliseconds by which nodes' times of day lie ahead of the store's clock.
-/// @return their median; nothing when there are none.
+/// @param offsets the nodes' wall clocks minus the store's clock, in milliseconds.
+/// @return their median (the upper one of an even number); nothing when `offsets` is empty.
 std::optional<int64_t> medianOffset(std::vector<int64_t> offsets);
 
 /// @param reading the newest reading of the store's clock.
-/// @param offset of true time to the store's clock.
-/// @param now a local moment.
-/// @return true time at that moment.
+/// @param offset true time minus the store's clock, in milliseconds.
+/// @param now local time.
+/// @return true time at `now`.
 Usage::true_time trueTimeAt(const store_reading& reading, int64_t offset, Common::instant now);
 
 } // namespace Control
--- a/Source/Core/Control/UsageKeeper.cpp
+++ b/Source/Core/Control/UsageKeeper.cpp
@@ -7,113 +7,113 @@
 
 namespace {
 
-    /// After the end of a window its counts are written within this time.
-    constexpr milliseconds lastCountDelay { 400 };
-    constexpr milliseconds retryPause { 300 };
-    /// Windows that are kept after their end.
-    constexpr int64_t keptWindows = 4;
+    /// Time after the end of a window until its final counts are written.
+    constexpr milliseconds finalWriteDelay { 400 };
+    constexpr milliseconds retryDelay { 300 };
+    /// Number of windows kept after their end.
+    constexpr int64_t retainedWindows = 4;
 
-    void perform(usage_keeper& keeper, const read_counts& step)
+    void perform(usage_tracker& tracker, const read_counts& step)
     {
-        control_context& context = keeper.context;
-        context.call(context.settings.calls.rows(context.storeAddress(), step.rows), [&keeper, window = step.window](const Store::rows_answer& answer) {
-            takeCounts(keeper.reporter, window, answer, Common::bootClockNow());
+        control_context& context = tracker.context;
+        context.call(context.settings.calls.rows(context.storeAddress(), step.rows), [&tracker, window = step.window](const Store::rows_answer& answer) {
+            handleCounts(tracker.reporter, window, answer, Common::bootClockNow());
         });
     }
 
-    void perform(usage_keeper& keeper, const record_report& step)
+    void perform(usage_tracker& tracker, const record_report& step)
     {
-        keeper.context.commit(step.transaction, [&keeper, window = step.window](const Store::rows_answer& answer) {
-            takeRecorded(keeper.reporter, window, answer, Common::bootClockNow());
+        tracker.context.commit(step.transaction, [&tracker, window = step.window](const Store::rows_answer& answer) {
+            handleRecorded(tracker.reporter, window, answer, Common::bootClockNow());
         });
     }
 
-    void takeUsageAnswer(usage_keeper& keeper, const send_report& step, const Http::transfer_answer& answer)
+    void handleUsageAnswer(usage_tracker& tracker, const send_report& step, const Http::transfer_answer& answer)
     {
-        const Scaling::order_outcome outcome = keeper.context.settings.calls.dutyAnswer(answer);
+        const Scaling::order_outcome outcome = tracker.context.settings.calls.dutyAnswer(answer);
         const bool isDone = outcome == Scaling::order_outcome::Done;
         uint64_t sum = 0;
         for (const auto& [account, count] : step.counts)
             sum += count;
         Common::logEvent(Common::log_level::Info, "usage_reported", { { "window", step.window.value }, { "requests", sum }, { "status", answer.status }, { "done", isDone } });
-        // A report is refused for nothing but a newer token.
+        // The cloud refuses a report only because of a newer fencing token.
         if (outcome == Scaling::order_outcome::Fenced || outcome == Scaling::order_outcome::NoneAvailable)
-            Lease::raiseFence(keeper.context.lease, Common::bootClockNow());
-        takeSent(keeper.reporter, step.window, isDone, Common::bootClockNow());
+            Lease::raiseFence(tracker.context.lease, Common::bootClockNow());
+        handleSent(tracker.reporter, step.window, isDone, Common::bootClockNow());
     }
 
-    void perform(usage_keeper& keeper, const send_report& step)
+    void perform(usage_tracker& tracker, const send_report& step)
     {
-        control_context& context = keeper.context;
-        context.client.start(context.settings.calls.usage(context.settings.facts.cloud.address, context.giver(), step.window, step.counts),
-            [&keeper, step](const Http::transfer_answer& answer) { takeUsageAnswer(keeper, step, answer); });
+        control_context& context = tracker.context;
+        context.client.start(context.settings.calls.usage(context.settings.facts.cloud.address, context.issuer(), step.window, step.counts),
+            [&tracker, step](const Http::transfer_answer& answer) { handleUsageAnswer(tracker, step, answer); });
     }
 
-    void perform(usage_keeper& keeper, const forget_rows& step)
+    void perform(usage_tracker& tracker, const remove_rows& step)
     {
-        keeper.context.commit(step.transaction, [&keeper, step](const Store::rows_answer& answer) {
-            takeForgotten(keeper.reporter, step, answer);
+        tracker.context.commit(step.transaction, [&tracker, step](const Store::rows_answer& answer) {
+            handleRemoved(tracker.reporter, step, answer);
         });
     }
 
 } // namespace
 
-void countBegun(usage_keeper& keeper, Common::instant now)
+void assignRequests(usage_tracker& tracker, Common::instant now)
 {
-    const auto trueNow = keeper.context.trueTime(now);
+    const auto trueNow = tracker.context.trueTime(now);
     if (!trueNow)
         return;
     const auto steadyNow = std::chrono::steady_clock::now();
-    for (const Usage::begun_request& item : keeper.unplaced) {
-        const auto ago = std::chrono::duration_cast<milliseconds>(steadyNow - item.at);
-        Usage::countBegun(keeper.counter, item.account, { trueNow->value - ago.count() });
+    for (const Usage::begun_request& request : tracker.unassigned) {
+        const auto age = std::chrono::duration_cast<milliseconds>(steadyNow - request.at);
+        Usage::countRequest(tracker.counter, request.account, { trueNow->value - age.count() });
     }
-    keeper.unplaced.clear();
+    tracker.unassigned.clear();
 }
 
-void writeCounts(usage_keeper& keeper, Common::instant now)
+void writeCounts(usage_tracker& tracker, Common::instant now)
 {
-    const auto trueNow = keeper.context.trueTime(now);
-    if (keeper.isWriting || !trueNow || !keeper.context.settings.facts.cloud.wantsUsage)
+    const auto trueNow = tracker.context.trueTime(now);
+    if (tracker.isWriting || !trueNow || !tracker.context.settings.facts.cloud.wantsUsage)
         return;
-    const Usage::window_number currentWindow = Usage::windowOf(*trueNow, keeper.counter.windowLength);
-    Usage::forgetBefore(keeper.counter, { currentWindow.value - keptWindows });
-    const Fleet::node_entry& self = keeper.context.settings.self;
-    const milliseconds interval = paceFor(keeper.context.nodes.size(), keeper.context.settings.facts.bounds).countInterval;
-    // One node's part of a window is small where there are so many that each writes it once.
-    const bool writesUnfinished = interval < keeper.counter.windowLength && now >= keeper.nextWrite;
+    const Usage::window_number currentWindow = Usage::windowOf(*trueNow, tracker.counter.windowLength);
+    Usage::removeBefore(tracker.counter, { currentWindow.value - retainedWindows });
+    const Fleet::node_entry& self = tracker.context.settings.self;
+    const milliseconds interval = callIntervalsFor(tracker.context.nodes.size(), tracker.context.settings.facts.bounds).countInterval;
+    // In a large fleet each node counts only a small part of a window, so it writes each window once, after its end.
+    const bool writesOpenWindows = interval < tracker.counter.windowLength && now >= tracker.nextWrite;
     Store::transaction write;
     std::map<Usage::window_number, Usage::account_counts> written;
-    for (const Usage::window_number window : Usage::unwrittenWindows(keeper.counter)) {
-        const bool isOver = trueNow->value > Usage::endOf(window, keeper.counter.windowLength).value + lastCountDelay.count();
-        if (!isOver && !writesUnfinished)
+    for (const Usage::window_number window : Usage::unwrittenWindows(tracker.counter)) {
+        const bool isOver = trueNow->value > Usage::endOf(window, tracker.counter.windowLength).value + finalWriteDelay.count();
+        if (!isOver && !writesOpenWindows)
             continue;
-        written[window] = keeper.counter.windows[window];
-        write.writes.push_back({ countRow(window, self.node, self.incarnation), Usage::encodeCounts(keeper.counter.windows[window]) });
+        written[window] = tracker.counter.windows[window];
+        write.writes.push_back({ countRow(window, self.node, self.incarnation), Usage::encodeCounts(tracker.counter.windows[window]) });
     }
     if (write.writes.empty())
         return;
-    keeper.isWriting = true;
-    keeper.nextWrite = now + interval;
-    keeper.context.commit(write, [&keeper, written](const Store::rows_answer& answer) {
-        keeper.isWriting = false;
+    tracker.isWriting = true;
+    tracker.nextWrite = now + interval;
+    tracker.context.commit(write, [&tracker, written](const Store::rows_answer& answer) {
+        tracker.isWriting = false;
         if (answer.outcome != Store::call_outcome::Done) {
-            keeper.nextWrite = Common::bootClockNow() + retryPause;
+            tracker.nextWrite = Common::bootClockNow() + retryDelay;
             return;
         }
         for (const auto& [window, counts] : written)
-            Usage::noteWritten(keeper.counter, window, counts);
+            Usage::markWritten(tracker.counter, window, counts);
     });
 }
 
-void reportUsage(usage_keeper& keeper, Common::instant now)
+void reportUsage(usage_tracker& tracker, Common::instant now)
 {
-    const auto trueNow = keeper.context.trueTime(now);
-    if (!trueNow || !keeper.context.settings.facts.cloud.wantsUsage)
+    const auto trueNow = tracker.context.trueTime(now);
+    if (!trueNow || !tracker.context.settings.facts.cloud.wantsUsage)
         return;
-    const auto step = nextStep(keeper.reporter, *trueNow, now);
+    const auto step = nextStep(tracker.reporter, *trueNow, now);
     if (step)
-        std::visit([&keeper](const auto& item) { perform(keeper, item); }, *step);
+        std::visit([&tracker](const auto& item) { perform(tracker, item); }, *step);
 }
 
 } // namespace Control
--- a/Source/Core/Control/UsageKeeper.h
+++ b/Source/Core/Control/UsageKeeper.h
@@ -1,29 +1,30 @@
 #pragma once
 
 /// @file
-/// Usage on its way: this node's counts to the store, and all nodes' counts to the cloud where this node holds the lease.
+/// Counts usage: writes this node's counts to the store and, while it holds the lease, reports all nodes' counts to the
+/// cloud.
 
 #include "Control/ControlContext.h"
 #include "Control/UsageReporter.h"
 
 namespace Control {
 
-struct usage_keeper {
+struct usage_tracker {
     control_context& context;
     Usage::usage_counter counter {};
     usage_reporter reporter {};
-    std::vector<Usage::begun_request> unplaced {}; ///< Begun before true time was known.
-    bool isWriting { false };
+    std::vector<Usage::begun_request> unassigned {}; ///< Not assigned to a window yet; kept until true time is known.
+    bool isWriting { false }; ///< A write of counts is in progress.
     Common::instant nextWrite {};
 };
 
-/// Counts what the gateway has seen, once true time is known.
-void countBegun(usage_keeper& keeper, Common::instant now);
+/// Assigns the gateway's requests to windows and counts them, once true time is known.
+void assignRequests(usage_tracker& tracker, Common::instant now);
 
-/// Writes this node's counts to the store when they are due.
-void writeCounts(usage_keeper& keeper, Common::instant now);
+/// Writes this node's counts to the store when a write is due.
+void writeCounts(usage_tracker& tracker, Common::instant now);
 
-/// Takes the next step of a report; only the holder of the lease may.
-void reportUsage(usage_keeper& keeper, Common::instant now);
+/// Starts the next step of a usage report. Only the lease holder may call this.
+void reportUsage(usage_tracker& tracker, Common::instant now);
 
 } // namespace Control
--- a/Source/Core/Control/UsageReporter.cpp
+++ b/Source/Core/Control/UsageReporter.cpp
@@ -10,45 +10,45 @@
 
     constexpr const char* countTable = "usage_counts";
     constexpr const char* reportTable = "usage_reports";
-    /// Nodes write their last counts of a window within this time after its end.
+    /// Time after a window's end within which all nodes have written their final counts.
     constexpr milliseconds settleTime { 2600 };
-    constexpr milliseconds retryPause { 400 };
-    /// A report that would be this late is not taken up any more.
-    constexpr milliseconds lateReserve { 300 };
-    /// The store takes a hundred entries in a transaction; a few are left to the report itself.
-    constexpr size_t mostRemovals = 90;
+    constexpr milliseconds retryDelay { 400 };
+    /// Time reserved for sending: with less than this left before its due time, a window is dropped.
+    constexpr milliseconds sendReserve { 300 };
+    /// The store accepts 100 entries per transaction; the rest is left for the report itself.
+    constexpr size_t maxRemovals = 90;
 
     std::string windowKey(Usage::window_number window)
     {
         return fmt::format("{:012}", window.value);
     }
 
-    /// The first window whose report can still be in time.
-    Usage::window_number oldestUseful(const usage_reporter& reporter, Usage::true_time trueNow)
+    /// @return the first window that can still be reported in time.
+    Usage::window_number oldestReportable(const usage_reporter& reporter, Usage::true_time trueNow)
     {
-        const int64_t latestEnd = trueNow.value - reporter.due.count() + lateReserve.count();
+        const int64_t latestEnd = trueNow.value - reporter.due.count() + sendReserve.count();
         return { Usage::windowOf({ latestEnd }, reporter.windowLength).value };
     }
 
-    void takeUpWindows(usage_reporter& reporter, Usage::true_time trueNow)
+    void addDueWindows(usage_reporter& reporter, Usage::true_time trueNow)
     {
         const Usage::window_number newest { Usage::windowOf({ trueNow.value - settleTime.count() }, reporter.windowLength).value - 1 };
-        const Usage::window_number oldest = oldestUseful(reporter, trueNow);
-        const int64_t first = reporter.lastBegun ? std::max(reporter.lastBegun->value + 1, oldest.value) : oldest.value;
+        const Usage::window_number oldest = oldestReportable(reporter, trueNow);
+        const int64_t first = reporter.newestAdded ? std::max(reporter.newestAdded->value + 1, oldest.value) : oldest.value;
         for (int64_t number = first; number <= newest.value; ++number)
             reporter.pending.try_emplace(Usage::window_number { number });
         if (newest.value >= first)
-            reporter.lastBegun = newest;
+            reporter.newestAdded = newest;
         std::erase_if(reporter.pending, [oldest](const auto& entry) { return entry.first < oldest; });
     }
 
     std::vector<Store::row_name> nextRemovals(const usage_reporter& reporter)
     {
-        const size_t count = std::min(reporter.obsolete.size(), mostRemovals);
+        const size_t count = std::min(reporter.obsolete.size(), maxRemovals);
         return { reporter.obsolete.begin(), reporter.obsolete.begin() + static_cast<std::ptrdiff_t>(count) };
     }
 
-    void noteRemoved(usage_reporter& reporter, size_t count)
+    void dropRemoved(usage_reporter& reporter, size_t count)
     {
         reporter.obsolete.erase(reporter.obsolete.begin(), reporter.obsolete.begin() + static_cast<std::ptrdiff_t>(count));
     }
@@ -90,29 +90,29 @@
 {
     if (reporter.isCalling)
         return {};
-    takeUpWindows(reporter, trueNow);
+    addDueWindows(reporter, trueNow);
     for (auto& [window, report] : reporter.pending) {
         if (now < report.nextTry)
             continue;
         reporter.isCalling = true;
         return makeStep(reporter, window, report);
     }
-    if (reporter.obsolete.size() <= mostRemovals)
+    if (reporter.obsolete.size() <= maxRemovals)
         return {};
     reporter.isCalling = true;
-    forget_rows step;
+    remove_rows step;
     step.transaction.removals = nextRemovals(reporter);
     return step;
 }
 
-void takeCounts(usage_reporter& reporter, Usage::window_number window, const Store::rows_answer& answer, Common::instant now)
+void handleCounts(usage_reporter& reporter, Usage::window_number window, const Store::rows_answer& answer, Common::instant now)
 {
     reporter.isCalling = false;
     window_report* report = find(reporter, window);
     if (!report)
         return;
     if (answer.outcome != Store::call_outcome::Done) {
-        report->nextTry = now + retryPause;
+        report->nextTry = now + retryDelay;
         return;
     }
     report->counts.clear();
@@ -127,7 +127,7 @@
     report->stage = report_stage::Record;
 }
 
-void takeRecorded(usage_reporter& reporter, Usage::window_number window, const Store::rows_answer& answer, Common::instant now)
+void handleRecorded(usage_reporter& reporter, Usage::window_number window, const Store::rows_answer& answer, Common::instant now)
 {
     reporter.isCalling = false;
     window_report* report = find(reporter, window);
@@ -135,7 +135,7 @@
         return;
     switch (answer.outcome) {
     case Store::call_outcome::Done:
-        noteRemoved(reporter, report->removals);
+        dropRemoved(reporter, report->removals);
         report->stage = report_stage::Send;
         return;
     case Store::call_outcome::ConditionFailed:
@@ -147,41 +147,41 @@
                 return;
             }
         }
-        report->nextTry = now + retryPause;
+        report->nextTry = now + retryDelay;
         return;
     case Store::call_outcome::HistoryLost:
     case Store::call_outcome::Refused:
     case Store::call_outcome::Unknown:
-        report->nextTry = now + retryPause;
+        report->nextTry = now + retryDelay;
         return;
     }
 }
 
-void takeSent(usage_reporter& reporter, Usage::window_number window, bool isDone, Common::instant now)
+void handleSent(usage_reporter& reporter, Usage::window_number window, bool isDone, Common::instant now)
 {
     reporter.isCalling = false;
     window_report* report = find(reporter, window);
     if (!report)
         return;
     if (!isDone) {
-        report->nextTry = now + retryPause;
+        report->nextTry = now + retryDelay;
         return;
     }
     reporter.obsolete.insert(reporter.obsolete.end(), report->countRows.begin(), report->countRows.end());
     reporter.pending.erase(window);
 }
 
-void takeForgotten(usage_reporter& reporter, const forget_rows& step, const Store::rows_answer& answer)
+void handleRemoved(usage_reporter& reporter, const remove_rows& step, const Store::rows_answer& answer)
 {
     reporter.isCalling = false;
     if (answer.outcome == Store::call_outcome::Done)
-        noteRemoved(reporter, step.transaction.removals.size());
+        dropRemoved(reporter, step.transaction.removals.size());
 }
 
 void resetReporter(usage_reporter& reporter)
 {
     reporter.pending.clear();
-    reporter.lastBegun.reset();
+    reporter.newestAdded.reset();
     reporter.obsolete.clear();
     reporter.isCalling = false;
 }
--- a/Source/Core/Control/UsageReporter.h
+++ b/Source/Core/Control/UsageReporter.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Usage from every node's counts to one report a window. The report is written to the store under a condition before it
-/// is sent, so that every later holder of the lease sends the same. Pure: no clock, no socket.
+/// Combines the usage counts of all nodes into one report per window. The report is written to the store conditionally
+/// before it is sent, so that a later lease holder sends the same report. Pure: no clock, no socket.
 
 #include "Store/Rows.h"
 #include "Usage/Usage.h"
@@ -17,35 +17,35 @@
 
 enum class report_stage {
     Collect, ///< Read the nodes' counts.
-    Record, ///< Write the report, if there is none.
-    Send, ///< Send the report.
+    Record, ///< Write the report to the store, if there is none.
+    Send, ///< Send the report to the cloud.
 };
 
-/// One window on its way to the cloud.
+/// Progress of the report of one window.
 struct window_report {
     report_stage stage { report_stage::Collect };
     Usage::account_counts counts;
-    std::vector<Store::row_name> countRows; ///< Of this window, to be removed once it is reported.
-    size_t removals { 0 }; ///< Of obsolete rows, written along with the report.
+    std::vector<Store::row_name> countRows; ///< Rows of this window, to be removed once it is reported.
+    size_t removals { 0 }; ///< Number of obsolete rows removed in the transaction that writes the report.
     Common::instant nextTry;
 };
 
 struct usage_reporter {
     milliseconds windowLength { 5000 };
-    milliseconds due { 10000 }; ///< After a window's end.
+    milliseconds due { 10000 }; ///< Time after a window's end by which its report must be sent.
     std::map<Usage::window_number, window_report> pending;
-    std::optional<Usage::window_number> lastBegun; ///< Newest window that was taken up.
-    std::vector<Store::row_name> obsolete; ///< Rows of reported windows.
-    bool isCalling { false };
+    std::optional<Usage::window_number> newestAdded; ///< Newest window added to `pending`.
+    std::vector<Store::row_name> obsolete; ///< Rows of reported windows, still to be removed.
+    bool isCalling { false }; ///< A step is in progress.
 };
 
-/// Read the counts that all nodes have written for a window.
+/// Read the counts of a window that the nodes have written.
 struct read_counts {
     Usage::window_number window;
     Store::range rows;
 };
 
-/// Write the report of a window, if there is none.
+/// Write the report of a window to the store, if there is none.
 struct record_report {
     Usage::window_number window;
     Store::transaction transaction;
@@ -57,33 +57,34 @@
     Usage::account_counts counts;
 };
 
-/// Remove rows that are needed no more and were too many to go along with reports.
-struct forget_rows {
+/// Remove obsolete rows that did not fit into the transactions of the reports.
+struct remove_rows {
     Store::transaction transaction;
 };
 
-using usage_step = std::variant<read_counts, record_report, send_report, forget_rows>;
+using usage_step = std::variant<read_counts, record_report, send_report, remove_rows>;
 
-/// The row that a process writes its counts of a window to. A node that starts again counts from zero: its rows are kept
-/// apart from those of its earlier process.
+/// Name of the row with one process's counts of a window. A restarted node counts from zero, so the name contains the
+/// incarnation: the new process must not overwrite the counts of the previous one.
 Store::row_name countRow(Usage::window_number window, const Common::node_id& node, Common::incarnation_number incarnation);
 
-/// @param reporter of the lease's holder; a step that is returned counts as under way.
-/// @param now true time, and the local clock.
-/// @return the next step that is due.
+/// @param reporter the lease holder's reporter. A returned step is in progress until its handle function is called.
+/// @param trueNow current true time.
+/// @param now current local time.
+/// @return the next step that is due, if any.
 std::optional<usage_step> nextStep(usage_reporter& reporter, Usage::true_time trueNow, Common::instant now);
 
-/// Takes the nodes' counts of a window.
-void takeCounts(usage_reporter& reporter, Usage::window_number window, const Store::rows_answer& answer, Common::instant now);
-/// Takes the end of writing a report: an earlier holder's report goes before this node's own.
-void takeRecorded(usage_reporter& reporter, Usage::window_number window, const Store::rows_answer& answer, Common::instant now);
-/// Takes the end of sending a report.
-void takeSent(usage_reporter& reporter, Usage::window_number window, bool isDone, Common::instant now);
+/// Handles the answer to read_counts.
+void handleCounts(usage_reporter& reporter, Usage::window_number window, const Store::rows_answer& answer, Common::instant now);
+/// Handles the answer to record_report. If a previous lease holder has already written a report, that one is sent.
+void handleRecorded(usage_reporter& reporter, Usage::window_number window, const Store::rows_answer& answer, Common::instant now);
+/// Handles the answer to send_report.
+void handleSent(usage_reporter& reporter, Usage::window_number window, bool isDone, Common::instant now);
 
-/// Takes the end of removing rows.
-void takeForgotten(usage_reporter& reporter, const forget_rows& step, const Store::rows_answer& answer);
+/// Handles the answer to remove_rows.
+void handleRemoved(usage_reporter& reporter, const remove_rows& step, const Store::rows_answer& answer);
 
-/// Another node holds the lease.
+/// Clears all state. Needed when another node may have sent reports since.
 void resetReporter(usage_reporter& reporter);
 
 } // namespace Control
--- a/Source/Core/Usage/Usage.cpp
+++ b/Source/Core/Usage/Usage.cpp
@@ -14,7 +14,7 @@
     return { (number.value + 1) * length.count() };
 }
 
-void countBegun(usage_counter& counter, const Common::account_id& account, true_time at)
+void countRequest(usage_counter& counter, const Common::account_id& account, true_time at)
 {
     ++counter.windows[windowOf(at, counter.windowLength)][account];
 }
@@ -30,12 +30,12 @@
     return found;
 }
 
-void noteWritten(usage_counter& counter, window_number number, const account_counts& counts)
+void markWritten(usage_counter& counter, window_number number, const account_counts& counts)
 {
     counter.written[number] = counts;
 }
 
-void forgetBefore(usage_counter& counter, window_number oldest)
+void removeBefore(usage_counter& counter, window_number oldest)
 {
     std::erase_if(counter.windows, [oldest](const auto& entry) { return entry.first < oldest; });
     std::erase_if(counter.written, [oldest](const auto& entry) { return entry.first < oldest; });
