--- a/Source/Core/Control/ControlDuty.cpp
+++ b/Source/Core/Control/ControlDuty.cpp
@@ -236,7 +236,7 @@
             ? context.settings.calls.rows(context.storeAddress(), std::get<Store::range>(*next))
             : context.settings.calls.transaction(context.storeAddress(), std::get<Store::transaction>(*next));
         context.call(std::move(request), [this](const Store::rows_answer& answer) {
-            Lease::takeAnswer(context.lease, answer, Common::bootClockNow());
+            Lease::handleAnswer(context.lease, answer, Common::bootClockNow());
             handleHolderChange();
         });
     }
--- a/Source/Core/Control/EndpointOrders.cpp
+++ b/Source/Core/Control/EndpointOrders.cpp
@@ -40,7 +40,7 @@
         Common::logEvent(Common::log_level::Info, "endpoints_ordered", { { "service", order.service.value }, { "zone", order.zone.value }, { "reclaimable", order.isReclaimable }, { "desired", order.desired }, { "status", answer.status }, { "answer", answer.body.substr(0, maxLoggedAnswerBytes) } });
         // An order without an answer may still be executed later. The next order needs a higher token to override it.
         if (outcome == Scaling::order_outcome::Fenced || outcome == Scaling::order_outcome::Unknown)
-            Lease::raiseFence(ordering.context.lease, Common::bootClockNow());
+            Lease::requireRenewal(ordering.context.lease, Common::bootClockNow());
         Scaling::applyOutcome(ordering.orders, outcome, Common::bootClockNow());
     }
 
--- a/Source/Core/Control/UsageKeeper.cpp
+++ b/Source/Core/Control/UsageKeeper.cpp
@@ -38,7 +38,7 @@
         Common::logEvent(Common::log_level::Info, "usage_reported", { { "window", step.window.value }, { "requests", sum }, { "status", answer.status }, { "done", isDone } });
         // The cloud refuses a report only because of a newer fencing token.
         if (outcome == Scaling::order_outcome::Fenced || outcome == Scaling::order_outcome::NoneAvailable)
-            Lease::raiseFence(tracker.context.lease, Common::bootClockNow());
+            Lease::requireRenewal(tracker.context.lease, Common::bootClockNow());
         handleSent(tracker.reporter, step.window, isDone, Common::bootClockNow());
     }
 
--- a/Source/Core/Lease/Lease.cpp
+++ b/Source/Core/Lease/Lease.cpp
@@ -8,34 +8,34 @@
 
     constexpr const char* leaseTable = "filbertreel";
     constexpr const char* leaseKey = "lease";
-    /// An order sent this close to the lease's end may arrive behind it.
+    /// An order sent less than this before the end of the lease may arrive after it.
     constexpr milliseconds actMargin { 400 };
-    /// Two clocks that a lapsed lease is judged by may differ by this.
-    constexpr milliseconds lapseMargin { 200 };
-    constexpr milliseconds retryPause { 250 };
+    /// Allowance for the difference between the clocks of two nodes that determine whether a lease has lapsed.
+    constexpr milliseconds clockTolerance { 200 };
+    constexpr milliseconds retryDelay { 250 };
 
-    /// The store's clock at a local moment, never later than it really is.
-    Store::store_time storeAtLeast(const clock_reading& clock, Common::instant now)
+    /// @return a lower bound of the store's clock at a local time.
+    Store::store_time earliestStoreTime(const clock_reading& clock, Common::instant now)
     {
         return { clock.now.value + std::chrono::duration_cast<milliseconds>(now - clock.receivedAt).count() };
     }
 
-    /// The local moment by which the store's clock may have reached a time.
-    Common::instant earliestLocal(const clock_reading& clock, Store::store_time time)
+    /// @return the earliest local time at which the store's clock may reach `time`.
+    Common::instant earliestLocalTime(const clock_reading& clock, Store::store_time time)
     {
         return clock.sentAt + milliseconds(time.value - clock.now.value);
     }
 
     bool isLapsed(const lease_state& state, Common::instant now)
     {
-        return !state.seen || storeAtLeast(state.clock, now).value > state.seen->until.value + lapseMargin.count();
+        return !state.lastSeen || earliestStoreTime(state.clock, now).value > state.lastSeen->until.value + clockTolerance.count();
     }
 
     lease_call makeClaim(lease_state& state, Common::instant now)
     {
         lease_record record;
         record.holder = state.settings.self;
-        record.until = { storeAtLeast(state.clock, now).value + state.settings.duration.count() };
+        record.until = { earliestStoreTime(state.clock, now).value + state.settings.duration.count() };
         record.nonce = ++state.lastNonce;
         state.claimed = record;
         Store::transaction claim;
@@ -44,26 +44,26 @@
         return claim;
     }
 
-    void takeRow(lease_state& state, const std::vector<Store::row>& rows)
+    void applyRow(lease_state& state, const std::vector<Store::row>& rows)
     {
-        state.seen.reset();
+        state.lastSeen.reset();
         state.version = {};
-        for (const Store::row& item : rows) {
-            if (item.name != leaseRow() || item.isRemoved)
+        for (const Store::row& row : rows) {
+            if (row.name != leaseRow() || row.isRemoved)
                 continue;
-            state.seen = decodeRecord(item.value);
-            state.version = item.version;
+            state.lastSeen = decodeRecord(row.value);
+            state.version = row.version;
         }
     }
 
-    void takeOwnership(lease_state& state)
+    void updateOwnership(lease_state& state)
     {
-        const bool isOwn = state.seen && state.seen->holder == state.settings.self && state.seen->nonce == state.lastNonce && state.lastNonce != 0;
+        const bool isOwn = state.lastSeen && state.lastSeen->holder == state.settings.self && state.lastSeen->nonce == state.lastNonce && state.lastNonce != 0;
         state.isHeld = isOwn;
         if (!isOwn)
             return;
         state.fence = { state.version.value };
-        state.heldUntil = earliestLocal(state.clock, state.seen->until);
+        state.heldUntil = earliestLocalTime(state.clock, state.lastSeen->until);
     }
 
     void scheduleNext(lease_state& state, Common::instant now)
@@ -76,7 +76,7 @@
         state.nextCall = state.mustRead ? now + state.settings.watchInterval : now;
     }
 
-    void readClock(lease_state& state, const Store::rows_answer& answer, Common::instant now)
+    void updateClock(lease_state& state, const Store::rows_answer& answer, Common::instant now)
     {
         state.clock = { answer.now, state.sentAt, now };
     }
@@ -103,33 +103,33 @@
     return makeClaim(state, now);
 }
 
-void takeAnswer(lease_state& state, const Store::rows_answer& answer, Common::instant now)
+void handleAnswer(lease_state& state, const Store::rows_answer& answer, Common::instant now)
 {
     state.isCalling = false;
-    const bool wasRead = state.mustRead;
+    const bool isReadAnswer = state.mustRead;
     switch (answer.outcome) {
     case Store::call_outcome::Done:
-        readClock(state, answer, now);
-        if (wasRead) {
-            takeRow(state, answer.rows);
+        updateClock(state, answer, now);
+        if (isReadAnswer) {
+            applyRow(state, answer.rows);
         } else {
             state.version = answer.newest;
-            state.seen = state.claimed;
+            state.lastSeen = state.claimed;
         }
         state.mustRead = false;
-        takeOwnership(state);
+        updateOwnership(state);
         return scheduleNext(state, now);
     case Store::call_outcome::ConditionFailed:
-        readClock(state, answer, now);
-        takeRow(state, answer.rows);
-        takeOwnership(state);
+        updateClock(state, answer, now);
+        applyRow(state, answer.rows);
+        updateOwnership(state);
         return scheduleNext(state, now);
     case Store::call_outcome::HistoryLost:
     case Store::call_outcome::Refused:
     case Store::call_outcome::Unknown:
-        // A write of unknown fate is found again by its nonce.
+        // The write may have been applied. The read shows it by its nonce.
         state.mustRead = true;
-        state.nextCall = now + retryPause;
+        state.nextCall = now + retryDelay;
         return;
     }
 }
@@ -139,16 +139,16 @@
     return state.isHeld && now + actMargin < state.heldUntil;
 }
 
-void raiseFence(lease_state& state, Common::instant now)
+void requireRenewal(lease_state& state, Common::instant now)
 {
     state.isHeld = false;
     state.mustRead = false;
     state.nextCall = now;
 }
 
-std::string encodeRecord(const lease_record& item)
+std::string encodeRecord(const lease_record& record)
 {
-    return nlohmann::json { { "holder", item.holder.value }, { "until", item.until.value }, { "nonce", item.nonce } }.dump();
+    return nlohmann::json { { "holder", record.holder.value }, { "until", record.until.value }, { "nonce", record.nonce } }.dump();
 }
 
 std::optional<lease_record> decodeRecord(const std::string& text)
--- a/Source/Core/Lease/Lease.h
+++ b/Source/Core/Lease/Lease.h
@@ -1,10 +1,10 @@
 #pragma once
 
 /// @file
-/// One lease in a row of the platform's store: its holder alone gives orders. Every renewal raises the fencing token, so
-/// that an order that is carried out late is refused once a newer one was given. Pure: no clock, no socket.
+/// A lease in a row of the platform's store. Only its holder issues orders. Every renewal increases the fencing token,
+/// so a delayed order is refused after a newer one. Pure: no clock, no socket.
 ///
-/// Instants are of a clock that also counts the time a machine is suspended.
+/// Instants are of a clock that keeps running while the machine is suspended.
 
 #include "Store/Rows.h"
 
@@ -15,24 +15,24 @@
 
 using std::chrono::milliseconds;
 
-/// Rises with every renewal and every change of holder.
+/// Increases with every renewal and every change of holder.
 using fencing_token = Common::strong_type<struct fencing_token_tag, uint64_t>;
 
 struct lease_settings {
     Common::node_id self;
-    milliseconds duration { 3600 }; ///< Longer than the time in which a duty must not return to an earlier holder.
+    milliseconds duration { 3600 }; ///< Longer than the time within which a previous holder must not return.
     milliseconds renewInterval { 1200 };
-    milliseconds watchInterval { 1500 }; ///< Between two looks of a node that does not hold it, by its rank.
+    milliseconds watchInterval { 1500 }; ///< Between two reads by a node that is not the holder; depends on its rank.
 };
 
-/// What the row says.
+/// Content of the row.
 struct lease_record {
     Common::node_id holder;
-    Store::store_time until;
-    uint64_t nonce { 0 }; ///< Of the write that made it, to recognise one's own write after a lost answer.
+    Store::store_time until; ///< End of the lease.
+    uint64_t nonce { 0 }; ///< Identifies the write, so that the writer recognises it when the answer was lost.
 };
 
-/// The store's clock as an answer told it: read at some moment between the two local instants.
+/// A reading of the store's clock, taken at an unknown time between the two local instants.
 struct clock_reading {
     Store::store_time now;
     Common::instant sentAt;
@@ -41,18 +41,18 @@
 
 struct lease_state {
     lease_settings settings;
-    std::optional<lease_record> seen;
-    Store::row_version version; ///< Of the row as last seen; zero when there is none.
+    std::optional<lease_record> lastSeen; ///< Last known content of the row.
+    Store::row_version version; ///< Version of the last known row; zero when there is no row.
     bool isHeld { false };
     fencing_token fence;
-    Common::instant heldUntil;
-    lease_record claimed; ///< What the last write would make of the row.
-    uint64_t lastNonce { 0 }; ///< Begins at random, so that no two processes share one.
-    bool isCalling { false };
-    bool mustRead { true };
-    bool isResigning { false }; ///< Takes or renews no lease any more.
-    Common::instant nextCall;
-    Common::instant sentAt; ///< Of the call under way, or the last one.
+    Common::instant heldUntil; ///< Earliest local time at which the lease may end.
+    lease_record claimed; ///< Content that the last write puts into the row.
+    uint64_t lastNonce { 0 }; ///< Starts at a random number, so that two processes don't use the same nonce.
+    bool isCalling { false }; ///< A call to the store is in progress.
+    bool mustRead { true }; ///< The next call reads the row instead of writing it.
+    bool isResigning { false }; ///< This node no longer acquires or renews the lease.
+    Common::instant nextCall; ///< Earliest time of the next call.
+    Common::instant sentAt; ///< Start of the current or last call.
     clock_reading clock;
 };
 
@@ -61,24 +61,26 @@
 
 using lease_call = std::variant<Store::range, Store::transaction>;
 
-/// @param state the lease; a call that is returned counts as under way.
-/// @return what to ask the store now, if anything.
+/// @param state the lease. A returned call is in progress until handleAnswer().
+/// @param now current local time.
+/// @return the call to send to the store now, if any.
 std::optional<lease_call> nextCall(lease_state& state, Common::instant now);
 
-/// Takes the answer to the call under way.
-void takeAnswer(lease_state& state, const Store::rows_answer& answer, Common::instant now);
+/// Handles the answer to the current call.
+void handleAnswer(lease_state& state, const Store::rows_answer& answer, Common::instant now);
 
-/// @return whether this node may give an order now.
+/// @return whether this node may issue an order now.
 bool mayAct(const lease_state& state, Common::instant now);
 
-/// An order was refused for a newer fencing token, or its fate is unknown: renew before the next one.
-void raiseFence(lease_state& state, Common::instant now);
+/// Requires a renewal, which increases the fencing token, before the next order. To be called after an order was
+/// refused because of a newer token or got no answer.
+void requireRenewal(lease_state& state, Common::instant now);
 
-/// @param item a record.
-/// @return its text in the row.
-std::string encodeRecord(const lease_record& item);
+/// @param record content of the row.
+/// @return its JSON text, the row's value.
+std::string encodeRecord(const lease_record& record);
 /// @param text a row's value.
-/// @return the record, or nothing when it can't be read.
+/// @return the record, or nothing when the text is not valid.
 std::optional<lease_record> decodeRecord(const std::string& text);
 
 } // namespace Lease
--- a/Source/Core/Lease/Tests/LeaseTest.cpp
+++ b/Source/Core/Lease/Tests/LeaseTest.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The lease between nodes whose machines sleep, whose answers are lost and whose writes come late.
+/// The lease, with suspended machines, lost answers, restarts and failed holders.
 
 #include "Lease/Lease.h"
 
@@ -14,28 +14,28 @@
     return Common::instant(std::chrono::hours(1)) + milliseconds(ms);
 }
 
-/// A store of one row with its own clock and versions.
+/// Fake store with one row and its version. The caller passes the time of its clock.
 struct one_row_store {
     std::optional<Store::row> row;
     uint64_t version { 10 };
 
     Store::rows_answer answer(const lease_call& call, int nowMs)
     {
-        Store::rows_answer made;
-        made.outcome = Store::call_outcome::Done;
-        made.now = { nowMs };
+        Store::rows_answer result;
+        result.outcome = Store::call_outcome::Done;
+        result.now = { nowMs };
         if (const auto* write = std::get_if<Store::transaction>(&call)) {
             const uint64_t known = row ? row->version.value : 0;
             if (write->conditions.front().version.value != known) {
-                made.outcome = Store::call_outcome::ConditionFailed;
+                result.outcome = Store::call_outcome::ConditionFailed;
             } else {
                 row = Store::row { leaseRow(), write->writes.front().value, { ++version }, false };
             }
         }
-        made.newest = { version };
-        if (row && (std::holds_alternative<Store::range>(call) || made.outcome == Store::call_outcome::ConditionFailed))
-            made.rows.push_back(*row);
-        return made;
+        result.newest = { version };
+        if (row && (std::holds_alternative<Store::range>(call) || result.outcome == Store::call_outcome::ConditionFailed))
+            result.rows.push_back(*row);
+        return result;
     }
 };
 
@@ -47,14 +47,14 @@
     return state;
 }
 
-/// Lets a node call as long as it has something to call.
+/// Performs the node's calls until it has none left.
 void callAll(lease_state& node, one_row_store& store, int nowMs)
 {
     for (int calls = 0; calls < 4; ++calls) {
         const auto call = nextCall(node, at(nowMs));
         if (!call)
             return;
-        takeAnswer(node, store.answer(*call, nowMs), at(nowMs));
+        handleAnswer(node, store.answer(*call, nowMs), at(nowMs));
     }
 }
 
@@ -62,7 +62,7 @@
 
 TEST_GROUP(Lease) {};
 
-TEST(Lease, OneNodeHoldsItAndRenewsWithARisingToken)
+TEST(Lease, OneNodeHoldsItAndRenewsWithAnIncreasingToken)
 {
     one_row_store store;
     lease_state first = makeNode("a", 100);
@@ -79,28 +79,28 @@
     CHECK(lastFence > 11);
 }
 
-TEST(Lease, ASilentHolderIsFollowedAndNeverActsBesideItsSuccessor)
+TEST(Lease, AFailedHolderIsReplacedAndNeverActsTogetherWithItsSuccessor)
 {
     one_row_store store;
     lease_state first = makeNode("a", 100);
     lease_state second = makeNode("b", 200);
     callAll(first, store, 0);
-    const uint64_t before = first.fence.value;
-    int taken = 0;
-    for (int now = 100; now < 12000 && taken == 0; now += 100) {
+    const uint64_t oldFence = first.fence.value;
+    int acquiredAt = 0;
+    for (int now = 100; now < 12000 && acquiredAt == 0; now += 100) {
         callAll(second, store, now);
         if (mayAct(second, at(now))) {
-            taken = now;
+            acquiredAt = now;
             CHECK(!mayAct(first, at(now)));
         }
     }
-    // Longer than the time in which a duty must not return to an earlier holder.
-    CHECK(taken > 3000);
-    CHECK(taken < 8000);
-    CHECK(second.fence.value > before);
+    // Longer than the time within which a previous holder must not return.
+    CHECK(acquiredAt > 3000);
+    CHECK(acquiredAt < 8000);
+    CHECK(second.fence.value > oldFence);
 }
 
-TEST(Lease, AFrozenHolderWakesWithoutTheLease)
+TEST(Lease, ASuspendedHolderResumesWithoutTheLease)
 {
     one_row_store store;
     lease_state first = makeNode("a", 100);
@@ -109,44 +109,44 @@
     CHECK(!mayAct(first, at(20000)));
 }
 
-TEST(Lease, AWriteWithALostAnswerIsFoundAgain)
+TEST(Lease, AWriteWithALostAnswerIsRecognised)
 {
     one_row_store store;
     lease_state node = makeNode("a", 100);
     const auto read = nextCall(node, at(0));
-    takeAnswer(node, store.answer(*read, 0), at(0));
+    handleAnswer(node, store.answer(*read, 0), at(0));
     const auto write = nextCall(node, at(0));
     store.answer(*write, 0);
-    takeAnswer(node, Store::rows_answer {}, at(1500));
+    handleAnswer(node, Store::rows_answer {}, at(1500));
     CHECK(!mayAct(node, at(1500)));
     callAll(node, store, 1800);
     CHECK(mayAct(node, at(1800)));
 }
 
-TEST(Lease, TheHoldersOwnEarlierProcessIsAnotherHolder)
+TEST(Lease, ARestartedProcessDoesNotInheritTheLease)
 {
     one_row_store store;
-    lease_state before = makeNode("a", 100);
-    callAll(before, store, 0);
+    lease_state previous = makeNode("a", 100);
+    callAll(previous, store, 0);
     lease_state restarted = makeNode("a", 900);
     callAll(restarted, store, 500);
     CHECK(!mayAct(restarted, at(500)));
 }
 
-TEST(Lease, ARaisedFenceNeedsANewWrite)
+TEST(Lease, RequiringARenewalBlocksOrdersUntilTheNextWrite)
 {
     one_row_store store;
     lease_state node = makeNode("a", 100);
     callAll(node, store, 0);
-    const uint64_t before = node.fence.value;
-    raiseFence(node, at(100));
+    const uint64_t oldFence = node.fence.value;
+    requireRenewal(node, at(100));
     CHECK(!mayAct(node, at(100)));
     callAll(node, store, 100);
     CHECK(mayAct(node, at(100)));
-    CHECK(node.fence.value > before);
+    CHECK(node.fence.value > oldFence);
 }
 
-TEST(Lease, AResigningNodeRenewsNothing)
+TEST(Lease, AResigningNodeDoesNotRenew)
 {
     one_row_store store;
     lease_state node = makeNode("a", 100);
@@ -156,7 +156,7 @@
     CHECK(!mayAct(node, at(5000)));
 }
 
-TEST(Lease, ARecordThatCannotBeReadIsNone)
+TEST(Lease, AnUnreadableRecordIsRejected)
 {
     for (const char* text : { "", "[]", "{}", "{\"holder\":\"a\"}", "x" })
         CHECK(!decodeRecord(text).has_value());
