--- a/Source/Core/Control/ControlContext.cpp
+++ b/Source/Core/Control/ControlContext.cpp
@@ -18,9 +18,9 @@
     });
 }
 
-void control_context::commit(const Store::transaction& item, answer_handler onAnswer)
+void control_context::commit(const Store::transaction& transaction, answer_handler onAnswer)
 {
-    call(settings.calls.transaction(storeAddress(), item), std::move(onAnswer));
+    call(settings.calls.transaction(storeAddress(), transaction), std::move(onAnswer));
 }
 
 const std::string& control_context::storeAddress() const
@@ -38,9 +38,9 @@
     if (!storeClock)
         return {};
     std::vector<int64_t> offsets;
-    for (const auto& [id, item] : nodes) {
-        if (item.clockOffset)
-            offsets.push_back(*item.clockOffset);
+    for (const auto& [id, node] : nodes) {
+        if (node.clockOffset)
+            offsets.push_back(*node.clockOffset);
     }
     const auto offset = medianOffset(std::move(offsets));
     if (!offset)
--- a/Source/Core/Control/ControlContext.h
+++ b/Source/Core/Control/ControlContext.h
@@ -15,7 +15,7 @@
     Http::client client;
     Fleet::endpoint_book endpoints;
     Catalog::catalog_pointer catalog;
-    Fleet::node_map nodes;
+    Fleet::node_map nodes; ///< All registered nodes, including this one.
     std::optional<store_reading> storeClock; ///< Empty until the store has answered.
     Lease::lease_state lease;
 
@@ -26,7 +26,7 @@
     void call(Http::outgoing_request&& request, answer_handler onAnswer);
     /// Sends a transaction to the store.
     /// @param onAnswer called once, from the client's poll().
-    void commit(const Store::transaction& item, answer_handler onAnswer);
+    void commit(const Store::transaction& transaction, answer_handler onAnswer);
     /// @return IP address and port of the store.
     const std::string& storeAddress() const;
     /// @return this node as the issuer of orders, with the fencing token of its last lease renewal.
--- a/Source/Core/Control/ControlDuty.cpp
+++ b/Source/Core/Control/ControlDuty.cpp
@@ -20,9 +20,9 @@
 namespace {
 
     constexpr size_t ringCapacity = 4096;
-    constexpr milliseconds longestPoll { 200 };
-    constexpr milliseconds nodesWait { 8000 };
-    constexpr milliseconds statusWait { 1500 };
+    constexpr milliseconds maxPollTime { 200 };
+    constexpr milliseconds nodeTableWait { 8000 };
+    constexpr milliseconds statusTableWait { 1500 };
     /// Number of nodes that poll the lease at the short interval to take it over soon after it lapses. The others poll
     /// rarely, to limit the reads of the store.
     constexpr size_t frequentWatchers = 2;
@@ -114,9 +114,9 @@
             outlets.tellGateway(Gateway::version_share_known { { action.service }, version, share });
         }
         // No shares: the rollout is complete, and the new version receives all requests.
-        const auto done = rollouts.rollouts.find({ action.service });
-        if (action.shares.empty() && done != rollouts.rollouts.end())
-            outlets.tellGateway(Gateway::version_share_known { { action.service }, done->second.order.to, 1000 });
+        const auto ended = rollouts.rollouts.find({ action.service });
+        if (action.shares.empty() && ended != rollouts.rollouts.end())
+            outlets.tellGateway(Gateway::version_share_known { { action.service }, ended->second.order.to, 1000 });
     }
 
     void perform(const Rollout::tell_evidence& action) { outlets.tellPeersEvidence(action); }
@@ -299,10 +299,10 @@
 
     void handle(catalog_text_heard&& message)
     {
-        Store::row item;
-        item.name = { context.settings.calls.operatorTable, "", context.settings.calls.catalogKey };
-        item.value = std::move(message.text);
-        applyCatalog({ { context.settings.calls.catalogKey, std::move(item) } }, "peer");
+        Store::row row;
+        row.name = { context.settings.calls.operatorTable, "", context.settings.calls.catalogKey };
+        row.value = std::move(message.text);
+        applyCatalog({ { context.settings.calls.catalogKey, std::move(row) } }, "peer");
     }
 
     void handle(catalog_asked&& message)
@@ -374,9 +374,9 @@
     const store_call_intervals intervals = callIntervalsFor(1, self.context.settings.facts.bounds);
     self.operatorWatch.settings = { self.context.settings.calls.operatorTable, intervals.catalogWait, intervals.longestRetry, {} };
     self.endpointWatch.settings = { self.context.settings.calls.endpointTable, intervals.endpointWait, intervals.longestRetry, intervals.endpointBatchDelay };
-    self.statusWatch.settings = { self.context.settings.calls.statusTable, statusWait, intervals.longestRetry, {} };
+    self.statusWatch.settings = { self.context.settings.calls.statusTable, statusTableWait, intervals.longestRetry, {} };
     self.rollouts = makeRolloutTracker(self.context.settings.facts.bounds.exposureShare);
-    self.nodeRows.watch.settings = { nodeTable, nodesWait, intervals.longestRetry, intervals.nodeBatchDelay };
+    self.nodeRows.watch.settings = { nodeTable, nodeTableWait, intervals.longestRetry, intervals.nodeBatchDelay };
     self.context.lease.settings.self = self.context.settings.self.node;
     self.context.lease.settings.duration = std::max(self.context.lease.settings.duration, self.context.settings.facts.bounds.lease + milliseconds(600));
     self.context.lease.lastNonce = self.context.settings.seed & ((uint64_t { 1 } << nonceBits) - 1);
@@ -397,7 +397,7 @@
 {
     while (!m_implementation->isStopping) {
         m_implementation->step();
-        m_implementation->context.client.poll(longestPoll);
+        m_implementation->context.client.poll(maxPollTime);
     }
 }
 
--- a/Source/Core/Control/ControlDuty.h
+++ b/Source/Core/Control/ControlDuty.h
@@ -74,6 +74,7 @@
     std::function<void(const Fleet::node_map&)> publishNodes;
     std::function<void(const Fleet::endpoint&)> tellPeersLeaving;
     std::function<void(uint64_t catalogVersion)> tellPeersCatalog;
+    /// Requests the catalog from peers that have a newer version than `after`.
     std::function<void(uint64_t after)> askPeersCatalog;
     std::function<void(const Common::node_id& peer, uint64_t version, std::string text)> givePeerCatalog;
     std::function<void(const Rollout::tell_evidence&)> tellPeersEvidence;
@@ -84,7 +85,7 @@
     Fleet::node_facts facts;
     Fleet::node_entry self;
     platform_calls calls;
-    uint64_t seed { 1 };
+    uint64_t seed { 1 }; ///< Start of the lease nonces; differs between processes.
 };
 
 class control_duty {
--- a/Source/Core/Control/NodeRows.cpp
+++ b/Source/Core/Control/NodeRows.cpp
@@ -20,8 +20,8 @@
 {
     control_context& context = rows.context;
     context.nodes.clear();
-    for (const auto& [key, item] : rows.watch.rows)
-        context.nodes[{ key }] = Fleet::decodeNode({ key }, item.value);
+    for (const auto& [key, row] : rows.watch.rows)
+        context.nodes[{ key }] = Fleet::decodeNode({ key }, row.value);
     // Another node has removed the row because it considered this node dead: register again.
     if (rows.isRegistered && !context.nodes.contains(context.settings.self.node))
         rows.isRegistered = false;
--- a/Source/Core/Control/RolloutKeeper.cpp
+++ b/Source/Core/Control/RolloutKeeper.cpp
@@ -9,7 +9,7 @@
     constexpr double exposureFactor = 0.85;
     constexpr double firstStageFactor = 0.4;
     constexpr double secondStageFactor = 0.7;
-    constexpr double thousand = 1000;
+    constexpr double thousandthsPerUnit = 1000;
     constexpr uint64_t firstStageAttempts = 10;
     constexpr uint64_t secondStageAttempts = 20;
     constexpr uint64_t lastStageAttempts = 40;
@@ -24,23 +24,23 @@
         return { std::chrono::duration_cast<std::chrono::milliseconds>(now.time_since_epoch()).count() };
     }
 
-    Configuration::version_state stateOf(const tracked_rollout& item)
+    Configuration::version_state stateOf(const tracked_rollout& rollout)
     {
-        if (!item.reported || *item.reported == rollout_status::InProgress)
+        if (!rollout.reported || *rollout.reported == rollout_status::InProgress)
             return Configuration::version_state::TakingOver;
-        return *item.reported == rollout_status::Completed ? Configuration::version_state::Current : Configuration::version_state::TakenBack;
+        return *rollout.reported == rollout_status::Completed ? Configuration::version_state::Current : Configuration::version_state::TakenBack;
     }
 
     rollout_actions evaluateVersions(rollout_tracker& tracker, Common::instant now)
     {
         auto config = std::make_shared<Configuration::configuration>();
-        for (const auto& [service, item] : tracker.rollouts) {
+        for (const auto& [service, rollout] : tracker.rollouts) {
             Configuration::endpoint_version version;
             version.service = service.value;
-            version.name = item.order.to;
-            version.state = stateOf(item);
-            version.startedAt = toEvaluationTime(item.seenAt);
-            version.deadline = toEvaluationTime(item.seenAt + item.order.time);
+            version.name = rollout.order.to;
+            version.state = stateOf(rollout);
+            version.startedAt = toEvaluationTime(rollout.seenAt);
+            version.deadline = toEvaluationTime(rollout.seenAt + rollout.order.time);
             config->versions[Configuration::versionKey(version.service, version.name)] = version;
         }
         return Rollout::stepRollout(tracker.evaluation, Rollout::configuration_seen { std::move(config) }, toEvaluationTime(now));
@@ -48,9 +48,9 @@
 
     Store::row_version versionOf(const std::map<std::string, Store::row>& rows, const rollout_order& order)
     {
-        for (const auto& [key, item] : rows) {
+        for (const auto& [key, row] : rows) {
             if (key.ends_with("/" + order.service.value))
-                return item.version;
+                return row.version;
         }
         return {};
     }
@@ -59,7 +59,7 @@
 
 rollout_tracker makeRolloutTracker(double exposureShare)
 {
-    const double share = exposureShare * exposureFactor * thousand;
+    const double share = exposureShare * exposureFactor * thousandthsPerUnit;
     const auto first = static_cast<uint32_t>(share * firstStageFactor);
     const auto second = static_cast<uint32_t>(share * secondStageFactor);
     const auto last = static_cast<uint32_t>(share);
@@ -110,15 +110,15 @@
 
 std::optional<tracked_rollout> nextReport(rollout_tracker& tracker)
 {
-    for (auto& [service, item] : tracker.rollouts) {
-        const bool isEnded = item.reported && *item.reported != rollout_status::InProgress;
-        if (item.isReporting || isEnded)
+    for (auto& [service, rollout] : tracker.rollouts) {
+        const bool isEnded = rollout.reported && *rollout.reported != rollout_status::InProgress;
+        if (rollout.isReporting || isEnded)
             continue;
-        const rollout_status wanted = item.proposed.value_or(rollout_status::InProgress);
-        if (item.reported == wanted)
+        const rollout_status wanted = rollout.proposed.value_or(rollout_status::InProgress);
+        if (rollout.reported == wanted)
             continue;
-        item.isReporting = true;
-        tracked_rollout report = item;
+        rollout.isReporting = true;
+        tracked_rollout report = rollout;
         report.proposed = wanted;
         return report;
     }
@@ -150,8 +150,8 @@
 
 bool isActive(const rollout_tracker& tracker)
 {
-    for (const auto& [service, item] : tracker.rollouts) {
-        if (!item.reported || *item.reported == rollout_status::InProgress)
+    for (const auto& [service, rollout] : tracker.rollouts) {
+        if (!rollout.reported || *rollout.reported == rollout_status::InProgress)
             return true;
     }
     return false;
--- a/Source/Core/Control/UsageReporter.cpp
+++ b/Source/Core/Control/UsageReporter.cpp
@@ -117,12 +117,12 @@
     }
     report->counts.clear();
     report->countRows.clear();
-    for (const Store::row& item : answer.rows) {
-        const auto counts = Usage::decodeCounts(item.value);
+    for (const Store::row& row : answer.rows) {
+        const auto counts = Usage::decodeCounts(row.value);
         if (!counts)
             continue;
         Usage::addCounts(report->counts, *counts);
-        report->countRows.push_back(item.name);
+        report->countRows.push_back(row.name);
     }
     report->stage = report_stage::Record;
 }
@@ -139,9 +139,9 @@
         report->stage = report_stage::Send;
         return;
     case Store::call_outcome::ConditionFailed:
-        for (const Store::row& item : answer.rows) {
-            const auto counts = Usage::decodeCounts(item.value);
-            if (counts && item.name.key == windowKey(window)) {
+        for (const Store::row& row : answer.rows) {
+            const auto counts = Usage::decodeCounts(row.value);
+            if (counts && row.name.key == windowKey(window)) {
                 report->counts = *counts;
                 report->stage = report_stage::Send;
                 return;
--- a/Source/Core/Lease/Tests/LeaseTest.cpp
+++ b/Source/Core/Lease/Tests/LeaseTest.cpp
@@ -25,8 +25,8 @@
         result.outcome = Store::call_outcome::Done;
         result.now = { nowMs };
         if (const auto* write = std::get_if<Store::transaction>(&call)) {
-            const uint64_t known = row ? row->version.value : 0;
-            if (write->conditions.front().version.value != known) {
+            const uint64_t rowVersion = row ? row->version.value : 0;
+            if (write->conditions.front().version.value != rowVersion) {
                 result.outcome = Store::call_outcome::ConditionFailed;
             } else {
                 row = Store::row { leaseRow(), write->writes.front().value, { ++version }, false };
--- a/Source/Core/Scaling/Plan.cpp
+++ b/Source/Core/Scaling/Plan.cpp
@@ -28,7 +28,7 @@
         Common::zone_name zone;
         double needed { 0 }; ///< Endpoints.
         double price { 1 };
-        uint32_t supplied { 0 }; ///< Reclaimable endpoints that take work now.
+        uint32_t supplied { 0 }; ///< Ready reclaimable endpoints.
         uint32_t reclaimable { 0 }; ///< Reclaimable endpoints wanted.
         uint32_t plain { 0 }; ///< Plain endpoints wanted.
         uint32_t maxPlain { 0 }; ///< Maximum of `plain`.
@@ -85,6 +85,7 @@
 
     zone_need* findLargestShortfall(std::vector<zone_need>& needs)
     {
+        // Prefers the cheaper zone when shortfalls are about equal.
         constexpr double priceWeight = 0.01;
         zone_need* chosen = nullptr;
         double largestShortfall = 0;
