--- a/Source/Core/Gateway/Admission.cpp
+++ b/Source/Core/Gateway/Admission.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-    /// Waiting time of callers that state none on routes without a limit.
-    constexpr milliseconds assumedTimeBudget { 30000 };
-    /// Callers that were refused because this node does not know its catalog yet may come back after this.
-    constexpr milliseconds retryWhenNotReady { 500 };
-    constexpr milliseconds retryWhenLeaving { 100 };
-    /// Answers in progress have to be complete by this share of the grace.
+    /// Used when neither the caller states a time budget nor the route has a timeout.
+    constexpr milliseconds defaultTimeBudget { 30000 };
+    /// Retry-After of rejections before this node has received its first catalog, and while it is leaving.
+    constexpr milliseconds retryAfterNotReady { 500 };
+    constexpr milliseconds retryAfterLeaving { 100 };
+    /// A leaving node must have completed its responses within this share of the grace period.
     constexpr double finishShareOfGrace = 0.85;
-    /// A request is taken only when it is expected to take less than this part of the time left.
-    constexpr double expectedShareOfTimeLeft = 0.4;
-    /// Assumed of requests of which nothing is known, and of each output token of a stream.
-    constexpr milliseconds assumedPlainTime { 150 };
-    constexpr milliseconds assumedFirstEventTime { 600 };
+    /// A leaving node admits a request only if its expected duration is below this share of the time left.
+    constexpr double maxExpectedShareOfTimeLeft = 0.4;
+    /// Expected durations of a plain request, of a model request up to its first event, and of each output token.
+    constexpr milliseconds assumedPlainDuration { 150 };
+    constexpr milliseconds assumedTimeToFirstEvent { 600 };
     constexpr double assumedMsPerOutputToken = 20;
 
     std::string_view pathOf(std::string_view target)
@@ -27,82 +27,82 @@
         return target.substr(0, target.find('?'));
     }
 
-    /// Finds the client account of a request's key.
-    /// @return whether the request may go on.
-    bool authorize(call& item)
+    /// Finds the client account that the request's key belongs to.
+    /// @return whether the key is valid or the route needs none.
+    bool authorize(proxied_call& call)
     {
-        item.urgency = item.route->priority;
-        if (item.catalog->accounts.empty() || item.route->isPublic)
+        call.urgency = call.route->priority;
+        if (call.catalog->accounts.empty() || call.route->isPublic)
             return true;
-        const Catalog::account* account = Catalog::findAccount(*item.catalog, item.facts.key);
+        const Catalog::account* account = Catalog::findAccount(*call.catalog, call.facts.key);
         if (!account)
             return false;
-        item.account = account->id;
-        item.urgency = account->priority.value_or(item.route->priority);
+        call.account = account->id;
+        call.urgency = account->priority.value_or(call.route->priority);
         return true;
     }
 
-    bool canFinishBeforeLeaving(const gateway_state& state, const call& item)
+    bool canFinishBeforeLeaving(const gateway_state& state, const proxied_call& call)
     {
         const Common::instant end = *state.leavingSince + std::chrono::duration_cast<milliseconds>(state.grace * finishShareOfGrace);
-        double expected = toMs(assumedPlainTime);
-        if (item.facts.model)
-            expected = toMs(assumedFirstEventTime) + item.facts.model->expectedOutputTokens.value_or(item.facts.model->mostOutputTokens) * assumedMsPerOutputToken;
-        return expected < toMs(end - item.arrived) * expectedShareOfTimeLeft;
+        double expected = toMs(assumedPlainDuration);
+        if (call.facts.model)
+            expected = toMs(assumedTimeToFirstEvent) + call.facts.model->expectedOutputTokens.value_or(call.facts.model->mostOutputTokens) * assumedMsPerOutputToken;
+        return expected < toMs(end - call.arrived) * maxExpectedShareOfTimeLeft;
     }
 
-    void setTimes(call& item)
+    void setDeadlineAndRetryLimits(proxied_call& call)
     {
-        milliseconds budget = item.facts.timeBudget.value_or(assumedTimeBudget);
-        if (item.route->timeout.count() > 0)
-            budget = std::min(budget, item.route->timeout);
-        item.deadline = item.arrived + budget;
-        item.progress.mayRepeat = Catalog::mayRepeat(*item.route);
-        item.progress.isResumable = item.route->isResumable;
-        item.progress.maxEndpoints = item.route->maxEndpoints;
+        milliseconds budget = call.facts.timeBudget.value_or(defaultTimeBudget);
+        if (call.route->timeout.count() > 0)
+            budget = std::min(budget, call.route->timeout);
+        call.deadline = call.arrived + budget;
+        call.progress.mayRetry = Catalog::mayRepeat(*call.route);
+        call.progress.isResumable = call.route->isResumable;
+        call.progress.maxEndpoints = call.route->maxEndpoints;
     }
 
-    double allowanceOf(const Catalog::account& account, const call& item)
+    double allowanceCost(const Catalog::account& account, const proxied_call& call)
     {
         if (!account.allowed.countsTokens)
             return 1;
-        if (item.facts.model)
-            return item.facts.model->promptTokens + item.facts.model->mostOutputTokens;
+        if (call.facts.model)
+            return call.facts.model->promptTokens + call.facts.model->mostOutputTokens;
         return static_cast<double>(account.allowed.plainTokens);
     }
 
-    std::optional<own_answer> takeAllowance(gateway_state& state, call& item)
+    std::optional<request_rejection> chargeAllowance(gateway_state& state, proxied_call& call)
     {
-        if (item.account.value.empty())
+        if (call.account.value.empty())
             return {};
-        const double amount = allowanceOf(*Catalog::findAccount(*item.catalog, item.facts.key), item);
-        const Quota::grant grant = Quota::take(state.quota, item.account, amount, item.arrived);
+        const double amount = allowanceCost(*Catalog::findAccount(*call.catalog, call.facts.key), call);
+        const Quota::grant grant = Quota::take(state.quota, call.account, amount, call.arrived);
         if (!grant.isGranted) {
-            item.overAllowance = grant;
-            return own_answer { 429, "over_allowance", grant.retryAfter };
+            call.refusedGrant = grant;
+            return request_rejection { 429, "over_allowance", grant.retryAfter };
         }
-        item.granted = amount;
+        call.allowanceTaken = amount;
         return {};
     }
 
 } // namespace
 
-std::optional<own_answer> admit(gateway_state& state, call& item)
+std::optional<request_rejection> admit(gateway_state& state, proxied_call& call)
 {
-    item.catalog = state.catalog;
-    if (!item.catalog)
-        return own_answer { 503, "not_ready", retryWhenNotReady };
-    item.route = Catalog::findRoute(*item.catalog, Http::findHeader(item.request.headers, "host"), pathOf(item.request.target));
-    if (!item.route)
-        return own_answer { 404, "unknown_route", {} };
-    if (!authorize(item))
-        return own_answer { 401, "unknown_key", {} };
-    if (state.leavingSince && !canFinishBeforeLeaving(state, item))
-        return own_answer { 503, "leaving", retryWhenLeaving };
-    setTimes(item);
-    item.service = Catalog::chooseService(*item.route, Common::uniformUnit(state.scheduler.random));
-    Limits::countRequest(state.repeats, item.service, item.arrived);
-    return takeAllowance(state, item);
+    call.catalog = state.catalog;
+    if (!call.catalog)
+        return request_rejection { 503, "not_ready", retryAfterNotReady };
+    call.route = Catalog::findRoute(*call.catalog, Http::findHeader(call.request.headers, "host"), pathOf(call.request.target));
+    if (!call.route)
+        return request_rejection { 404, "unknown_route", {} };
+    if (!authorize(call))
+        return request_rejection { 401, "unknown_key", {} };
+    if (state.leavingSince && !canFinishBeforeLeaving(state, call))
+        return request_rejection { 503, "leaving", retryAfterLeaving };
+    setDeadlineAndRetryLimits(call);
+    call.service = Catalog::chooseService(*call.route, Common::uniformUnit(state.scheduler.random));
+    Limits::countRequest(state.repeats, call.service, call.arrived);
+    return chargeAllowance(state, call);
 }
 
 } // namespace Gateway
--- a/Source/Core/Gateway/Admission.h
+++ b/Source/Core/Gateway/Admission.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Whether a request is taken: its route, its client account, its time and the account's allowance. Pure: no clock, no
-/// socket.
+/// Admission of a request: finds its route and client account, sets its deadline and charges the account's allowance.
+/// Reads no clock and no socket.
 
 #include "Gateway/Call.h"
 #include "Gateway/GatewayState.h"
@@ -12,16 +12,16 @@
 
 namespace Gateway {
 
-/// An answer of the system's own, which says that the request was not run.
-struct own_answer {
+/// An error response of the gateway itself, sent when no endpoint ran the request.
+struct request_rejection {
     int status { 0 };
     std::string_view reason;
     std::optional<milliseconds> retryAfter;
 };
 
-/// @param state what the gateway knows; what the request takes from allowances is recorded.
-/// @param item a request that has arrived; its route, account, service and deadline are set.
-/// @return why it is turned away, or nothing when it is taken.
-std::optional<own_answer> admit(gateway_state& state, call& item);
+/// @param state the request and its use of the account's allowance are recorded in it.
+/// @param call a request that has just arrived; its route, account, service and deadline are set.
+/// @return the rejection, or nothing when the request is admitted.
+std::optional<request_rejection> admit(gateway_state& state, proxied_call& call);
 
 } // namespace Gateway
--- a/Source/Core/Gateway/AttemptOutcome.cpp
+++ b/Source/Core/Gateway/AttemptOutcome.cpp
@@ -9,10 +9,10 @@
     constexpr int statusesPerClass = 100;
     constexpr int misdirectedStatus = 421;
 
-    bool isLate(const call& item, Common::instant now)
+    bool isLate(const proxied_call& call, Common::instant now)
     {
-        const double ms = item.progress.hasHeadSent ? item.firstByteMs : toMs(now - item.arrived);
-        return item.route->target.count() > 0 && ms > toMs(item.route->target);
+        const double ms = call.progress.hasHeadSent ? call.firstByteMs : toMs(now - call.arrived);
+        return call.route->target.count() > 0 && ms > toMs(call.route->target);
     }
 
 } // namespace
@@ -27,21 +27,21 @@
     return status / statusesPerClass == successClass;
 }
 
-attempt_end classify(const call& item, exchange_end end)
+attempt_end classify(const proxied_call& call, exchange_end end)
 {
-    const attempt& current = *item.current;
+    const attempt& current = *call.currentAttempt;
     if (end == exchange_end::NotSent)
         return attempt_end::NotSent;
-    // A whole stream whose last event is cut short is no whole answer.
-    const bool endsInsideEvent = current.hasEvents && !item.events.partial.empty();
+    // A stream that ends within an event is incomplete even if its HTTP framing is complete.
+    const bool endsInsideEvent = current.hasEvents && !call.events.partial.empty();
     if (end == exchange_end::Broken || endsInsideEvent)
         return attempt_end::Broken;
-    if (current.answer.hasNotRun || current.status == misdirectedStatus)
+    if (current.response.hasNotRun || current.status == misdirectedStatus)
         return attempt_end::NotRun;
-    if (!current.answer.isSealed)
+    if (!current.response.isSealed)
         return attempt_end::Broken;
-    // Only events can go on with an answer that has begun.
-    if (item.progress.hasHeadSent && !current.hasEvents)
+    // A response that has begun can only be continued by another event stream.
+    if (call.progress.hasHeadSent && !current.hasEvents)
         return attempt_end::Failed;
     return current.status / statusesPerClass == serverFailureClass ? attempt_end::Failed : attempt_end::Answered;
 }
@@ -64,11 +64,11 @@
     return Scheduling::placement_end::Abandoned;
 }
 
-attempt_seen::event seenEventOf(const call& item, attempt_end outcome, Common::instant now)
+attempt_seen::event versionEventOf(const proxied_call& call, attempt_end outcome, Common::instant now)
 {
     switch (outcome) {
     case attempt_end::Answered:
-        return isLate(item, now) ? attempt_seen::event::Late : attempt_seen::event::Good;
+        return isLate(call, now) ? attempt_seen::event::Late : attempt_seen::event::Good;
     case attempt_end::Failed:
     case attempt_end::Broken:
     case attempt_end::TimedOut:
--- a/Source/Core/Gateway/AttemptOutcome.h
+++ b/Source/Core/Gateway/AttemptOutcome.h
@@ -1,31 +1,32 @@
 #pragma once
 
 /// @file
-/// What the end of an exchange with an endpoint means: for the request, for the endpoint and for its version. Pure.
+/// Classifies the end of an attempt for the request, for the endpoint's scheduling state and for the rollout of its
+/// version. Reads no clock and no socket.
 
 #include "Gateway/Call.h"
 #include "Gateway/GatewayDuty.h"
 
 namespace Gateway {
 
-/// @return a span in milliseconds.
+/// @return a duration in milliseconds, with fractions.
 double toMs(Common::duration time);
 
-/// @return whether a status tells of success.
+/// @return whether an HTTP status is 2xx.
 bool isSuccess(int status);
 
-/// @param item a request with an attempt under way.
-/// @param end how the attempt's exchange ended.
-/// @return what that means for the request.
-attempt_end classify(const call& item, exchange_end end);
+/// @param call a request with a current attempt.
+/// @param end how the attempt's HTTP exchange ended.
+/// @return the attempt's outcome, which also depends on the status and proof of origin of the response.
+attempt_end classify(const proxied_call& call, exchange_end end);
 
-/// @return what the end of an attempt says of its endpoint.
+/// @return the outcome as the scheduler records it for the endpoint.
 Scheduling::placement_end placementEndOf(attempt_end outcome);
 
-/// @param item a request with an attempt that has ended.
-/// @param outcome how.
-/// @param now the present time.
-/// @return what that says of the endpoint's version.
-attempt_seen::event seenEventOf(const call& item, attempt_end outcome, Common::instant now);
+/// @param call a request whose current attempt has ended.
+/// @param outcome of the attempt.
+/// @param now current time.
+/// @return the outcome as a rollout counts it for the endpoint's version.
+attempt_seen::event versionEventOf(const proxied_call& call, attempt_end outcome, Common::instant now);
 
 } // namespace Gateway
--- a/Source/Core/Gateway/Call.h
+++ b/Source/Core/Gateway/Call.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// One request of a caller from its arrival to its whole answer.
+/// One request of a caller, from its arrival to the end of its response.
 
 #include "Catalog/Catalog.h"
 #include "Gateway/CallFlow.h"
@@ -17,41 +17,42 @@
 /// Identifies a request within this process.
 using call_id = Common::strong_type<struct call_id_tag, uint64_t>;
 
-/// The attempt at an endpoint that is under way.
+/// One attempt to have an endpoint run the request.
 struct attempt {
     std::shared_ptr<endpoint_channel> channel;
-    Scheduling::placement where;
+    Scheduling::placement placement;
     Common::version_name version;
     int status { 0 };
-    answer_facts answer;
-    std::string body; ///< Of an answer that is not streamed.
-    bool isForeign { false }; ///< The answer belongs to another request.
-    bool hasEvents { false }; ///< The answer is a stream of events.
-    bool hasBegun { false };
+    answer_facts response;
+    std::string body; ///< Body of a response that is not streamed.
+    bool isForOtherRequest { false }; ///< The response carries the attempt id of another request.
+    bool hasEvents { false }; ///< The response is a stream of server-sent events.
+    bool isStartRecorded { false }; ///< The start of the response was recorded for scheduling and usage.
 };
 
-struct call {
+/// A caller's request and its state in the gateway.
+struct proxied_call {
     call_id id;
     caller_session_pointer session;
     arrived_request request;
     request_facts facts;
-    Catalog::catalog_pointer catalog; ///< Keeps the route alive.
+    Catalog::catalog_pointer catalog; ///< The catalog at arrival; keeps the route alive.
     const Catalog::route* route { nullptr };
     Common::account_id account;
     Common::service_name service;
-    uint32_t urgency { 0 };
-    double granted { 0 }; ///< Taken from the account's allowance.
-    std::optional<Quota::grant> overAllowance; ///< What the allowance was refused by.
-    bool isCounted { false }; ///< Reported as begun.
+    uint32_t urgency { 0 }; ///< 0 is the most urgent.
+    double allowanceTaken { 0 }; ///< Charged to the account's allowance, in requests or tokens.
+    std::optional<Quota::grant> refusedGrant; ///< Set if the account's allowance was exceeded.
+    bool isUsageRecorded { false }; ///< Added to the usage report.
     Common::instant arrived;
     Common::instant deadline;
-    std::unique_ptr<boost::asio::steady_timer> timer;
+    std::unique_ptr<boost::asio::steady_timer> timer; ///< Expires at the deadline.
     call_progress progress;
-    std::set<Common::endpoint_id> tried;
-    std::optional<attempt> current;
+    std::set<Common::endpoint_id> triedEndpoints;
+    std::optional<attempt> currentAttempt; ///< The latest attempt; it may have ended.
     event_reader events;
-    double firstByteMs { 0 };
-    uint32_t sends { 0 };
+    double firstByteMs { 0 }; ///< From arrival to the start of the response; zero before.
+    uint32_t attemptCount { 0 };
 };
 
 } // namespace Gateway
--- a/Source/Core/Gateway/CallFlow.cpp
+++ b/Source/Core/Gateway/CallFlow.cpp
@@ -4,28 +4,28 @@
 
 namespace {
 
-    bool mayRunElsewhere(const call_progress& progress)
+    bool mayRetryElsewhere(const call_progress& progress)
     {
-        if (!progress.mayRepeat || !progress.hasTimeLeft || progress.endpointsRun >= progress.maxEndpoints)
+        if (!progress.mayRetry || !progress.hasTimeLeft || progress.endpointsRun >= progress.maxEndpoints)
             return false;
         return !progress.hasHeadSent || progress.isResumable;
     }
 
     next_step afterRefusal(const call_progress& progress, next_step retry)
     {
-        if (progress.hasTimeLeft && progress.refusals < mostRefusals)
+        if (progress.hasTimeLeft && progress.refusals < maxRefusals)
             return retry;
         if (progress.hasHeadSent)
-            return next_step::CutAnswer;
-        // An earlier endpoint may have run it: then "not run" would be untrue.
+            return next_step::AbortResponse;
+        // An earlier endpoint may have run the request, so the caller must not be told that it did not run.
         return progress.endpointsRun > 0 ? next_step::FailUnknown : next_step::Refuse;
     }
 
-    next_step afterLoss(const call_progress& progress, next_step failure)
+    next_step afterFailure(const call_progress& progress, next_step failure)
     {
-        if (mayRunElsewhere(progress))
-            return next_step::TryAnother;
-        return progress.hasHeadSent ? next_step::CutAnswer : failure;
+        if (mayRetryElsewhere(progress))
+            return next_step::Retry;
+        return progress.hasHeadSent ? next_step::AbortResponse : failure;
     }
 
 } // namespace
@@ -34,18 +34,19 @@
 {
     switch (end) {
     case attempt_end::NotSent:
-        return afterRefusal(progress, next_step::TryAnotherFreely);
+        return afterRefusal(progress, next_step::RetryUnbudgeted);
     case attempt_end::NotRun:
-        return afterRefusal(progress, next_step::TryAnother);
+        return afterRefusal(progress, next_step::Retry);
     case attempt_end::Answered:
-        return next_step::GiveAnswer;
+        return next_step::ForwardResponse;
     case attempt_end::Failed:
-        // Where the answer has begun, a failure of the endpoint that should go on with it must not end it as if whole.
-        return afterLoss(progress, next_step::GiveAnswer);
+        // If the response has begun, forwarding this failure would end it as if it were complete; afterFailure() aborts it
+        // instead.
+        return afterFailure(progress, next_step::ForwardResponse);
     case attempt_end::Broken:
-        return afterLoss(progress, next_step::FailUnknown);
+        return afterFailure(progress, next_step::FailUnknown);
     case attempt_end::TimedOut:
-        return progress.hasHeadSent ? next_step::CutAnswer : next_step::FailTimeout;
+        return progress.hasHeadSent ? next_step::AbortResponse : next_step::FailTimeout;
     }
     return next_step::FailUnknown;
 }
--- a/Source/Core/Gateway/CallFlow.h
+++ b/Source/Core/Gateway/CallFlow.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What follows the end of an attempt at an endpoint. Pure: no clock, no socket.
+/// Decides what to do after an attempt at an endpoint has ended. Reads no clock and no socket.
 
 #include "Catalog/Catalog.h"
 
@@ -9,45 +9,44 @@
 
 /// How an attempt at an endpoint ended.
 enum class attempt_end {
-    NotSent, ///< Proven: no byte was written.
+    NotSent, ///< Certain: no byte was written.
     NotRun, ///< The endpoint states that it did not run the request.
-    Answered, ///< A whole answer that bears the endpoint's proof.
-    Failed, ///< A whole answer that says the endpoint failed.
-    Broken, ///< Bytes were written and no whole answer came: it may have run.
-    TimedOut, ///< The same, because the time was up.
+    Answered, ///< A complete response with the endpoint's proof of origin.
+    Failed, ///< A complete response that reports a failure of the endpoint.
+    Broken, ///< Bytes were written but no complete response came: the request may have run.
+    TimedOut, ///< Like Broken, because the request's deadline has passed.
 };
 
-/// How far a request has come.
+/// Progress of a request over all its attempts.
 struct call_progress {
-    bool mayRepeat { false };
-    bool isResumable { false }; ///< A stream that may go on at another endpoint.
-    bool hasHeadSent { false }; ///< The caller has the head of the answer.
+    bool mayRetry { false }; ///< The request may be sent again after an endpoint may have run it.
+    bool isResumable { false }; ///< A stream that another endpoint can continue.
+    bool hasHeadSent { false }; ///< The head of the response was sent to the caller.
     uint32_t endpointsRun { 0 }; ///< Endpoints that may have run the request.
     uint32_t maxEndpoints { 1 };
     uint32_t refusals { 0 }; ///< Endpoints that did not run it.
-    bool hasTimeLeft { true }; ///< Enough for another attempt to be worth it.
+    bool hasTimeLeft { true }; ///< Enough for another attempt.
 };
 
 enum class next_step {
-    TryAnother, ///< At another endpoint, if the budget of repeats allows.
-    TryAnotherFreely, ///< At another endpoint; the last one got nothing.
-    GiveAnswer, ///< The endpoint's answer goes to the caller.
-    Refuse, ///< Proven not run: the caller may come back.
+    Retry, ///< At another endpoint, if the retry budget allows.
+    RetryUnbudgeted, ///< At another endpoint, outside the retry budget, as the last one received nothing.
+    ForwardResponse, ///< Forward the endpoint's response to the caller.
+    Refuse, ///< Certainly not run: 503, the caller may retry.
     FailUnknown, ///< It may have run: 502.
-    FailTimeout, ///< It may have run, and the time is up: 504.
-    CutAnswer, ///< The answer has begun and can't be completed.
+    FailTimeout, ///< It may have run, and the deadline has passed: 504.
+    AbortResponse, ///< The response has begun and can't be completed: close the connection.
 };
 
-/// Endpoints that may refuse a request before the caller is refused.
-constexpr uint32_t mostRefusals = 3;
+/// After this many endpoints did not run a request, no further one is tried.
+constexpr uint32_t maxRefusals = 3;
 
-/// @param progress how far the request has come, the ended attempt included.
+/// @param progress including the ended attempt.
 /// @param end how the attempt ended.
-/// @return what to do; where a repeat is not allowed by the budget, ask again with hasTimeLeft unset.
+/// @return the next step. If it is Retry and the retry budget is exhausted, call again with hasTimeLeft unset.
 next_step decideNext(const call_progress& progress, attempt_end end);
 
-/// @param end any end.
-/// @return its stable name in logs and metrics.
+/// @return the name used in logs, metrics and error responses; must not change.
 const char* nameOf(attempt_end end);
 
 } // namespace Gateway
--- a/Source/Core/Gateway/CallLog.cpp
+++ b/Source/Core/Gateway/CallLog.cpp
@@ -9,52 +9,52 @@
 
 namespace Gateway {
 
-void logAttempt(const call& item, attempt_end outcome)
+void logRetry(const proxied_call& call, attempt_end outcome)
 {
-    Common::logEvent(Common::log_level::Info, "attempt_repeated", { { "request", item.facts.attemptId }, { "end", nameOf(outcome) }, { "endpoint", item.current->where.endpoint.value }, { "status", item.current->status }, { "sends", item.sends } });
+    Common::logEvent(Common::log_level::Info, "attempt_repeated", { { "request", call.facts.attemptId }, { "end", nameOf(outcome) }, { "endpoint", call.currentAttempt->placement.endpoint.value }, { "status", call.currentAttempt->status }, { "sends", call.attemptCount } });
 }
 
-void logEnd(const call& item, std::string_view outcome, int status, Common::instant now)
+void logEnd(const proxied_call& call, std::string_view outcome, int status, Common::instant now)
 {
-    nlohmann::json fields { { "request", item.facts.attemptId }, { "outcome", outcome }, { "status", status }, { "ms", std::llround(toMs(now - item.arrived)) } };
-    fields["catalog"] = item.catalog ? item.catalog->version : 0;
-    if (item.route)
-        fields["route"] = item.route->name.value;
-    if (!item.account.value.empty())
-        fields["account"] = item.account.value;
-    if (item.overAllowance) {
-        fields["allowance_left"] = std::llround(item.overAllowance->level);
-        fields["allowance_share"] = item.overAllowance->share;
-        fields["allowance_per_s"] = std::llround(Catalog::findAccount(*item.catalog, item.facts.key)->allowed.perSecond);
+    nlohmann::json fields { { "request", call.facts.attemptId }, { "outcome", outcome }, { "status", status }, { "ms", std::llround(toMs(now - call.arrived)) } };
+    fields["catalog"] = call.catalog ? call.catalog->version : 0;
+    if (call.route)
+        fields["route"] = call.route->name.value;
+    if (!call.account.value.empty())
+        fields["account"] = call.account.value;
+    if (call.refusedGrant) {
+        fields["allowance_left"] = std::llround(call.refusedGrant->level);
+        fields["allowance_share"] = call.refusedGrant->share;
+        fields["allowance_per_s"] = std::llround(Catalog::findAccount(*call.catalog, call.facts.key)->allowed.perSecond);
     }
-    if (item.facts.timeBudget)
-        fields["budget_ms"] = item.facts.timeBudget->count();
-    if (item.firstByteMs > 0)
-        fields["first_ms"] = std::llround(item.firstByteMs);
-    if (item.current) {
-        fields["endpoint"] = item.current->where.endpoint.value;
-        fields["predicted_ms"] = std::llround(item.current->where.predictedMs);
-        fields["fresh_tokens"] = std::llround(item.current->where.freshTokens);
-        fields["sends"] = item.sends;
+    if (call.facts.timeBudget)
+        fields["budget_ms"] = call.facts.timeBudget->count();
+    if (call.firstByteMs > 0)
+        fields["first_ms"] = std::llround(call.firstByteMs);
+    if (call.currentAttempt) {
+        fields["endpoint"] = call.currentAttempt->placement.endpoint.value;
+        fields["predicted_ms"] = std::llround(call.currentAttempt->placement.predictedMs);
+        fields["fresh_tokens"] = std::llround(call.currentAttempt->placement.freshTokens);
+        fields["sends"] = call.attemptCount;
     }
-    if (item.facts.model)
-        fields["prompt_tokens"] = item.facts.model->promptTokens;
+    if (call.facts.model)
+        fields["prompt_tokens"] = call.facts.model->promptTokens;
     Common::logEvent(Common::log_level::Info, "request_ended", std::move(fields));
 }
 
-std::string writeRequest(const call& item, const std::vector<Http::header>& lines)
+std::string writeRequest(const proxied_call& call, const std::vector<Http::header>& lines)
 {
-    std::string bytes = fmt::format("{} {} HTTP/1.1\r\n", item.request.method, item.request.target);
+    std::string bytes = fmt::format("{} {} HTTP/1.1\r\n", call.request.method, call.request.target);
     for (const Http::header& line : lines) {
         bytes += line.name;
         bytes += ": ";
         bytes += line.value;
         bytes += "\r\n";
     }
-    if (!item.request.body.empty() || item.request.method == "POST" || item.request.method == "PUT")
-        bytes += fmt::format("Content-Length: {}\r\n", item.request.body.size());
+    if (!call.request.body.empty() || call.request.method == "POST" || call.request.method == "PUT")
+        bytes += fmt::format("Content-Length: {}\r\n", call.request.body.size());
     bytes += "\r\n";
-    bytes += item.request.body;
+    bytes += call.request.body;
     return bytes;
 }
 
--- a/Source/Core/Gateway/CallLog.h
+++ b/Source/Core/Gateway/CallLog.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Log lines of the gateway's decisions on a request, and the bytes of a request to an endpoint.
+/// Log lines about a request, and the serialized request to an endpoint.
 
 #include "Gateway/Call.h"
 
@@ -9,15 +9,16 @@
 
 namespace Gateway {
 
-/// Logs that a request goes to another endpoint after an attempt.
-void logAttempt(const call& item, attempt_end outcome);
+/// Logs that a request is retried at another endpoint after an attempt has ended.
+void logRetry(const proxied_call& call, attempt_end outcome);
 
-/// Logs the end of a request with the inputs that decided it.
-void logEnd(const call& item, std::string_view outcome, int status, Common::instant now);
+/// Logs the end of a request with the inputs of the decisions about it.
+/// @param status HTTP status sent to the caller, or zero if no complete response was sent.
+void logEnd(const proxied_call& call, std::string_view outcome, int status, Common::instant now);
 
-/// @param item a request.
-/// @param lines header lines of the attempt.
-/// @return head and body.
-std::string writeRequest(const call& item, const std::vector<Http::header>& lines);
+/// @param call a request.
+/// @param lines header lines of the attempt, without Content-Length.
+/// @return head and body of the HTTP request to the endpoint.
+std::string writeRequest(const proxied_call& call, const std::vector<Http::header>& lines);
 
 } // namespace Gateway
--- a/Source/Core/Gateway/CallerSession.cpp
+++ b/Source/Core/Gateway/CallerSession.cpp
@@ -24,13 +24,14 @@
     constexpr int firstStatusWithBody = 200;
     constexpr int noContentStatus = 204;
     constexpr int notModifiedStatus = 304;
-    /// A caller that reads nothing while so much waits for it is given up.
+    /// The connection is aborted when this much is waiting for a caller that reads too slowly.
     constexpr size_t outboxLimitBytes = size_t { 4 } * 1024 * 1024;
-    /// A body of the largest size over the slowest link of the deployments takes less.
-    constexpr std::chrono::milliseconds bodyTimeLimit { 20000 };
-    /// How long a closing side waits for the other's close, so that unread bytes do not reset the connection.
-    constexpr std::chrono::milliseconds lingerLimit { 1000 };
-    /// Callers reuse a connection up to its idle limit; the slack lets a request that is under way arrive.
+    /// Long enough for a body of the maximum size over the slowest link of the deployments.
+    constexpr std::chrono::milliseconds bodyTimeout { 20000 };
+    /// How long a close waits for the caller's close. Closing with unread bytes would reset the connection, and the caller
+    /// could lose the response.
+    constexpr std::chrono::milliseconds lingerTimeout { 1000 };
+    /// Added to the idle timeout: a caller may reuse a connection just before the timeout, and that request must arrive.
     constexpr std::chrono::milliseconds idleSlack { 5000 };
 
     std::string writeHead(int status, const std::vector<Http::header>& headers, bool closes)
@@ -53,7 +54,7 @@
         return status >= firstStatusWithBody && status != noContentStatus && status != notModifiedStatus;
     }
 
-    /// Framing that another parser might read otherwise.
+    /// @return whether another HTTP parser might frame or route the request differently (request smuggling).
     template <typename fields>
     bool isAmbiguous(const fields& head)
     {
@@ -97,7 +98,7 @@
 
 bool caller_session::isIdle() const
 {
-    return !m_isReading && !m_isAnswering && !m_isWriting;
+    return !m_isReading && !m_isResponding && !m_isWriting;
 }
 
 void caller_session::armTimer(std::chrono::milliseconds after)
@@ -133,16 +134,16 @@
     m_parser->body_limit(limits.bodyBytes);
     armTimer(limits.headerTimeout);
     http::async_read_header(m_socket, m_buffer, *m_parser, [self = shared_from_this()](const error_code& error, size_t) {
-        self->takeHead(error);
+        self->handleHead(error);
     });
 }
 
-void caller_session::takeHead(const error_code& error)
+void caller_session::handleHead(const error_code& error)
 {
     if (m_isClosed)
         return;
     if (error)
-        return rejectUnreadable(error);
+        return handleReadError(error);
     const auto& head = m_parser->get();
     if (isAmbiguous(head))
         return rejectAndClose(badRequestStatus);
@@ -157,23 +158,23 @@
 void caller_session::readBody()
 {
     if (m_parser->is_done())
-        return deliver();
-    armTimer(bodyTimeLimit);
+        return deliverRequest();
+    armTimer(bodyTimeout);
     http::async_read(m_socket, m_buffer, *m_parser, [self = shared_from_this()](const error_code& error, size_t) {
         if (self->m_isClosed)
             return;
         if (error)
-            return self->rejectUnreadable(error);
-        self->deliver();
+            return self->handleReadError(error);
+        self->deliverRequest();
     });
 }
 
-void caller_session::deliver()
+void caller_session::deliverRequest()
 {
     m_timer.cancel();
     auto& message = m_parser->get();
     m_isReading = false;
-    m_isAnswering = true;
+    m_isResponding = true;
     ++m_requests;
     m_mustClose = m_mustClose || !message.keep_alive();
     m_isHeadRequest = message.method() == http::verb::head;
@@ -190,13 +191,13 @@
 {
     const uint64_t request = m_requests;
     m_socket.async_wait(tcp::socket::wait_read, [self = shared_from_this(), request](const error_code& error) {
-        if (error || self->m_isClosed || !self->m_isAnswering || request != self->m_requests)
+        if (error || self->m_isClosed || !self->m_isResponding || request != self->m_requests)
             return;
         char byte = 0;
         error_code peekError;
         self->m_socket.non_blocking(true, peekError);
         const size_t peeked = self->m_socket.receive(boost::asio::buffer(&byte, 1), tcp::socket::message_peek, peekError);
-        // Bytes of a next request: from here on a close shows only when the answer is written.
+        // The bytes belong to the next request and stay unread, so a close is now detected only when the response is written.
         if (!peekError && peeked > 0)
             return;
         if (peekError == boost::asio::error::would_block)
@@ -205,7 +206,7 @@
     });
 }
 
-void caller_session::rejectUnreadable(const error_code& error)
+void caller_session::handleReadError(const error_code& error)
 {
     if (isParseError(error))
         return rejectAndClose(statusOf(error));
@@ -215,13 +216,13 @@
 void caller_session::rejectAndClose(int status)
 {
     m_isReading = false;
-    m_isAnswering = true;
+    m_isResponding = true;
     respond(status, { { "Content-Type", "application/json" } }, R"({"error":"malformed_request"})", true);
 }
 
 void caller_session::respond(int status, const std::vector<Http::header>& headers, const std::string& body, bool closes)
 {
-    if (m_isClosed || !m_isAnswering)
+    if (m_isClosed || !m_isResponding)
         return;
     m_mustClose = m_mustClose || closes;
     std::string bytes = writeHead(status, headers, m_mustClose);
@@ -231,12 +232,12 @@
     if (hasBody(status) && !m_isHeadRequest)
         bytes += body;
     send(std::move(bytes));
-    finishAnswer();
+    finishResponse();
 }
 
 void caller_session::beginStream(int status, const std::vector<Http::header>& headers, bool closes)
 {
-    if (m_isClosed || !m_isAnswering)
+    if (m_isClosed || !m_isResponding)
         return;
     m_mustClose = m_mustClose || closes;
     send(writeHead(status, headers, m_mustClose) + "Transfer-Encoding: chunked\r\n\r\n");
@@ -244,7 +245,7 @@
 
 void caller_session::streamBytes(std::string_view bytes)
 {
-    if (m_isClosed || !m_isAnswering || bytes.empty())
+    if (m_isClosed || !m_isResponding || bytes.empty())
         return;
     std::string chunk = fmt::format("{:x}\r\n", bytes.size());
     chunk += bytes;
@@ -254,15 +255,15 @@
 
 void caller_session::endStream()
 {
-    if (m_isClosed || !m_isAnswering)
+    if (m_isClosed || !m_isResponding)
         return;
     send("0\r\n\r\n");
-    finishAnswer();
+    finishResponse();
 }
 
-void caller_session::finishAnswer()
+void caller_session::finishResponse()
 {
-    m_isAnswering = false;
+    m_isResponding = false;
     if (!m_isWriting && m_outbox.empty())
         return m_mustClose ? closeGracefully() : awaitRequest();
 }
@@ -293,7 +294,7 @@
         self->m_outboxBytes -= batch->size();
         if (!self->m_outbox.empty())
             return self->writeNext();
-        if (self->m_isAnswering || self->m_isReading)
+        if (self->m_isResponding || self->m_isReading)
             return;
         if (self->m_mustClose)
             return self->closeGracefully();
@@ -314,9 +315,9 @@
         return;
     m_isClosing = true;
     error_code ignored;
-    // The other side may have closed first.
+    // Fails if the caller has closed first.
     m_socket.shutdown(tcp::socket::shutdown_send, ignored);
-    armTimer(lingerLimit);
+    armTimer(lingerTimeout);
     drainUntilClosed();
 }
 
@@ -336,11 +337,11 @@
 {
     if (m_isClosed)
         return;
-    const bool wasAnswering = m_isAnswering;
-    m_isAnswering = false;
+    const bool wasResponding = m_isResponding;
+    m_isResponding = false;
     close();
-    if (wasAnswering)
-        m_events.onGone(*this);
+    if (wasResponding)
+        m_events.onCallerDisconnected(*this);
 }
 
 void caller_session::close()
@@ -350,7 +351,7 @@
     m_isClosed = true;
     m_timer.cancel();
     error_code ignored;
-    // Nothing is left to tell the caller; a failed close changes nothing.
+    // Nothing more can be sent to the caller, so an error of the close has no consequence.
     m_socket.close(ignored);
     m_events.onClosed(*this);
 }
--- a/Source/Core/Gateway/CallerSession.h
+++ b/Source/Core/Gateway/CallerSession.h
@@ -1,10 +1,11 @@
 #pragma once
 
 /// @file
-/// One connection of a caller: reads a request at a time and writes its answer.
+/// One connection of a caller: reads one request at a time and writes its response.
 ///
-/// Boost.Beast instead of RESTinio: an answer that breaks off midway must end with a closed connection without its last
-/// chunk, a caller's close must be noticed while its answer is pending, and bare line feeds must be refused.
+/// Uses Boost.Beast instead of RESTinio because a response that is aborted midway must end with a closed connection
+/// without its last chunk, a close by the caller must be detected while its response is pending, and bare line feeds
+/// must be rejected.
 
 #include "Catalog/Catalog.h"
 #include "Http/Server.h"
@@ -35,15 +36,15 @@
     std::string body;
 };
 
-/// What a session tells its owner. None of the functions may block.
+/// Callbacks from a session to its owner. They must not block.
 struct session_events {
-    /// A whole request was read.
+    /// A complete request was read.
     std::function<void(const caller_session_pointer&, arrived_request&&)> onRequest;
-    /// The caller went away before its answer was complete.
-    std::function<void(caller_session&)> onGone;
-    /// The connection is closed for good.
+    /// The caller disconnected, or the session was aborted, before the response was complete.
+    std::function<void(caller_session&)> onCallerDisconnected;
+    /// The connection is closed; the last callback of a session.
     std::function<void(caller_session&)> onClosed;
-    /// @return the limits in force.
+    /// @return the current limits on requests.
     std::function<Catalog::input_limits()> limits;
 };
 
@@ -55,20 +56,20 @@
 
     /// Waits for the first request.
     void start();
-    /// Answers whole.
-    /// @param closes whether this is the last answer on the connection.
+    /// Sends a complete response.
+    /// @param closes whether the connection is closed after this response.
     void respond(int status, const std::vector<Http::header>& headers, const std::string& body, bool closes);
-    /// Sends the head of an answer whose length is not known yet.
+    /// Sends the head of a response whose length is not known yet, with chunked transfer coding.
     void beginStream(int status, const std::vector<Http::header>& headers, bool closes);
-    /// Sends a part of a streamed answer.
+    /// Sends a part of a streamed response as one chunk.
     void streamBytes(std::string_view bytes);
-    /// Completes a streamed answer.
+    /// Completes a streamed response with its last chunk.
     void endStream();
-    /// Closes at once, so that an unfinished answer looks unfinished.
+    /// Closes the connection at once, so that the caller sees an unfinished response as incomplete.
     void abort();
-    /// Closes an idle connection; one with a request in progress closes after its answer.
+    /// Closes the connection now if it is idle, else after the response in progress.
     void closeWhenIdle();
-    /// @return whether no request is being read or answered.
+    /// @return whether no request is being read and no response is pending.
     bool isIdle() const;
 
 private:
@@ -77,14 +78,14 @@
     void awaitRequest();
     void readHead();
     void readBody();
-    void takeHead(const boost::system::error_code& error);
-    void deliver();
-    void rejectUnreadable(const boost::system::error_code& error);
+    void handleHead(const boost::system::error_code& error);
+    void deliverRequest();
+    void handleReadError(const boost::system::error_code& error);
     void rejectAndClose(int status);
     void watchForClose();
     void send(std::string bytes);
     void writeNext();
-    void finishAnswer();
+    void finishResponse();
     void closeGracefully();
     void drainUntilClosed();
     void close();
@@ -100,7 +101,7 @@
     size_t m_outboxBytes { 0 };
     uint64_t m_requests { 0 };
     bool m_isWriting { false };
-    bool m_isAnswering { false };
+    bool m_isResponding { false };
     bool m_isReading { false };
     bool m_isHeadRequest { false };
     bool m_mustClose { false };
--- a/Source/Core/Gateway/ChannelPool.cpp
+++ b/Source/Core/Gateway/ChannelPool.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-    constexpr size_t mostIdlePerEndpoint = 4;
+    constexpr size_t maxIdlePerEndpoint = 4;
     constexpr std::chrono::milliseconds assumedKeepAlive { 1500 };
-    /// An endpoint may close a little before the time it states.
+    /// Only this share of the keep-alive time is used, as an endpoint may close somewhat before the time it states.
     constexpr double usedShareOfKeepAlive = 0.6;
 
 } // namespace
@@ -18,28 +18,28 @@
 {
 }
 
-std::shared_ptr<endpoint_channel> channel_pool::take(const std::string& address, bool mayReuse)
+std::shared_ptr<endpoint_channel> channel_pool::acquire(const std::string& address, bool mayReuse)
 {
     const auto found = m_idle.find(address);
     const auto now = std::chrono::steady_clock::now();
     while (mayReuse && found != m_idle.end() && !found->second.empty()) {
-        const idle_channel kept = std::move(found->second.back());
+        const idle_channel candidate = std::move(found->second.back());
         found->second.pop_back();
-        if (kept.channel->isUsable() && now < kept.usableUntil)
-            return kept.channel;
-        kept.channel->cancel();
+        if (candidate.channel->isUsable() && now < candidate.usableUntil)
+            return candidate.channel;
+        candidate.channel->cancel();
     }
     return std::make_shared<endpoint_channel>(m_context, address);
 }
 
-void channel_pool::giveBack(const std::string& address, const std::shared_ptr<endpoint_channel>& channel, std::optional<std::chrono::milliseconds> keepAlive)
+void channel_pool::release(const std::string& address, const std::shared_ptr<endpoint_channel>& channel, std::optional<std::chrono::milliseconds> keepAlive)
 {
     std::vector<idle_channel>& idle = m_idle[address];
-    std::erase_if(idle, [](const idle_channel& item) { return !item.channel->isUsable(); });
-    if (idle.size() >= mostIdlePerEndpoint)
+    std::erase_if(idle, [](const idle_channel& entry) { return !entry.channel->isUsable(); });
+    if (idle.size() >= maxIdlePerEndpoint)
         return channel->cancel();
-    const std::chrono::duration<double, std::milli> kept(static_cast<double>(keepAlive.value_or(assumedKeepAlive).count()) * usedShareOfKeepAlive);
-    idle.push_back({ channel, std::chrono::steady_clock::now() + std::chrono::duration_cast<std::chrono::milliseconds>(kept) });
+    const std::chrono::duration<double, std::milli> usableTime(static_cast<double>(keepAlive.value_or(assumedKeepAlive).count()) * usedShareOfKeepAlive);
+    idle.push_back({ channel, std::chrono::steady_clock::now() + std::chrono::duration_cast<std::chrono::milliseconds>(usableTime) });
     channel->watchIdle();
 }
 
--- a/Source/Core/Gateway/ChannelPool.h
+++ b/Source/Core/Gateway/ChannelPool.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// Idle connections to endpoints, kept for requests that may be repeated.
+/// Pool of idle connections to endpoints. Only requests that may be sent again reuse them, because the endpoint may
+/// close an idle connection at the moment a request is written.
 
 #include "Gateway/EndpointChannel.h"
 
@@ -14,13 +15,13 @@
 public:
     explicit channel_pool(boost::asio::io_context& context);
 
-    /// @param address IP number and port of an endpoint.
-    /// @param mayReuse whether a connection that carried another request may serve.
-    /// @return a connection that carries no request.
-    std::shared_ptr<endpoint_channel> take(const std::string& address, bool mayReuse);
-    /// Keeps a connection for later.
-    /// @param keepAlive how long the endpoint keeps it, when it says so.
-    void giveBack(const std::string& address, const std::shared_ptr<endpoint_channel>& channel, std::optional<std::chrono::milliseconds> keepAlive);
+    /// @param address IP address and port of an endpoint.
+    /// @param mayReuse whether the connection may have carried other requests before.
+    /// @return an idle connection from the pool, or a new one that is not connected yet.
+    std::shared_ptr<endpoint_channel> acquire(const std::string& address, bool mayReuse);
+    /// Returns a connection to the pool; it is closed instead if the endpoint has enough idle connections.
+    /// @param keepAlive how long the endpoint keeps it open, if the endpoint states it.
+    void release(const std::string& address, const std::shared_ptr<endpoint_channel>& channel, std::optional<std::chrono::milliseconds> keepAlive);
 
 private:
     struct idle_channel {
--- a/Source/Core/Gateway/EndpointChannel.cpp
+++ b/Source/Core/Gateway/EndpointChannel.cpp
@@ -16,7 +16,7 @@
     namespace http = boost::beast::http;
     using boost::system::error_code;
 
-    constexpr uint32_t answerHeadLimitBytes = 32768;
+    constexpr uint32_t responseHeadLimitBytes = 32768;
     constexpr unsigned informationalClass = 1;
     constexpr unsigned statusesPerClass = 100;
 
@@ -53,7 +53,7 @@
     return m_isConnected && !m_isClosed && !m_isActive;
 }
 
-void endpoint_channel::exchange(std::string bytes, std::chrono::milliseconds connectLimit, exchange_events events)
+void endpoint_channel::exchange(std::string bytes, std::chrono::milliseconds connectTimeout, exchange_events events)
 {
     m_request = std::move(bytes);
     m_events = std::move(events);
@@ -63,10 +63,10 @@
     ++m_exchanges;
     if (m_isConnected)
         return write();
-    connect(connectLimit);
+    connect(connectTimeout);
 }
 
-void endpoint_channel::connect(std::chrono::milliseconds limit)
+void endpoint_channel::connect(std::chrono::milliseconds timeout)
 {
     error_code error;
     const tcp::endpoint target = parseAddress(m_address, error);
@@ -74,7 +74,7 @@
         boost::asio::post(m_socket.get_executor(), [self = shared_from_this()] { self->finish(exchange_end::NotSent); });
         return;
     }
-    m_timer.expires_after(limit);
+    m_timer.expires_after(timeout);
     m_timer.async_wait([self = shared_from_this()](const error_code& timerError) {
         if (timerError || self->m_isConnected || self->m_isClosed)
             return;
@@ -94,12 +94,13 @@
 
 void endpoint_channel::write()
 {
-    // From here on the endpoint may have got the request, whatever an error says.
+    // From here on the endpoint may have received the request, even if the write reports an error.
     m_hasWritten = true;
     boost::asio::async_write(m_socket, boost::asio::buffer(m_request), [self = shared_from_this(), exchange = m_exchanges](const error_code& error, size_t) {
         if (self->m_isClosed || exchange != self->m_exchanges)
             return;
-        // An endpoint may answer and stop reading before it has the whole body: the answer still counts.
+        // An endpoint may respond and stop reading before it has the whole body, so a failed write does not end the exchange;
+        // it only prevents the reuse of the connection.
         self->m_isWriteDone = !error;
     });
     readHead();
@@ -108,14 +109,14 @@
 void endpoint_channel::readHead()
 {
     m_parser.emplace();
-    m_parser->header_limit(answerHeadLimitBytes);
+    m_parser->header_limit(responseHeadLimitBytes);
     m_parser->body_limit(std::numeric_limits<uint64_t>::max());
     http::async_read_header(m_socket, m_buffer, *m_parser, [self = shared_from_this()](const error_code& error, size_t) {
-        self->takeHead(error);
+        self->handleHead(error);
     });
 }
 
-void endpoint_channel::takeHead(const error_code& error)
+void endpoint_channel::handleHead(const error_code& error)
 {
     if (m_isClosed || !m_isActive)
         return;
@@ -180,7 +181,7 @@
     m_isActive = false;
     m_timer.cancel();
     error_code ignored;
-    // The endpoint stops its work when the connection closes; a failed close changes nothing.
+    // The endpoint stops its work when the connection closes; an error of the close has no consequence.
     m_socket.close(ignored);
 }
 
@@ -189,7 +190,7 @@
     m_socket.async_wait(tcp::socket::wait_read, [self = shared_from_this(), exchange = m_exchanges](const error_code& error) {
         if (error || self->m_isClosed || exchange != self->m_exchanges)
             return;
-        // A close, or bytes that belong to no request.
+        // Either the endpoint closed, or it sent bytes that belong to no request.
         self->cancel();
     });
 }
--- a/Source/Core/Gateway/EndpointChannel.h
+++ b/Source/Core/Gateway/EndpointChannel.h
@@ -1,10 +1,10 @@
 #pragma once
 
 /// @file
-/// One connection to an endpoint: sends a request at a time and reads its answer as it arrives.
+/// One connection to an endpoint: sends one request at a time and reads its response as it arrives.
 ///
-/// Boost.Beast instead of libcurl: whether bytes of a request were written decides what may be told of it, and bytes
-/// behind a complete answer must end the connection.
+/// Uses Boost.Beast instead of libcurl because the gateway must know whether bytes of a request were written (only then
+/// may the endpoint have run it), and because a connection must not be reused if bytes follow a complete response.
 
 #include "Http/Server.h"
 
@@ -24,19 +24,19 @@
 
 namespace Gateway {
 
-/// How an exchange with an endpoint ended.
+/// How an HTTP exchange with an endpoint ended.
 enum class exchange_end {
-    NotSent, ///< Proven: no byte of the request was written.
-    Broken, ///< The connection failed, or what came was no answer, after bytes were written.
-    Complete, ///< The answer arrived whole.
+    NotSent, ///< Certain: no byte of the request was written.
+    Broken, ///< After bytes were written, the connection failed, or the response was invalid or rejected by onHead.
+    Complete, ///< The complete response has arrived.
 };
 
-/// What a channel tells its user during one exchange. The functions may cancel the channel.
+/// Callbacks of a channel during one exchange. They may cancel the channel.
 struct exchange_events {
-    /// The head of the answer. @return false to break the exchange off.
+    /// The head of the response. @return false to abort the exchange.
     std::function<bool(int status, const std::vector<Http::header>& headers)> onHead;
     std::function<void(std::string_view bytes)> onBytes;
-    /// Called once, last, unless the channel is cancelled.
+    /// Called once, as the last callback, unless the channel is cancelled.
     std::function<void(exchange_end end, bool isReusable)> onEnd;
 };
 
@@ -45,29 +45,30 @@
     using tcp = boost::asio::ip::tcp;
 
     /// @param context runs the channel's callbacks.
-    /// @param address IP number and port.
+    /// @param address IP address and port.
     endpoint_channel(boost::asio::io_context& context, const std::string& address);
 
-    /// Sends a request, connecting first when needed.
-    /// @param bytes head and body.
-    /// @param connectLimit how long connecting may take.
-    void exchange(std::string bytes, std::chrono::milliseconds connectLimit, exchange_events events);
-    /// Closes at once; no callback follows.
+    /// Sends a request, connecting first if necessary.
+    /// @param bytes head and body of the request.
+    /// @param connectTimeout how long connecting may take.
+    /// @param events called during this exchange.
+    void exchange(std::string bytes, std::chrono::milliseconds connectTimeout, exchange_events events);
+    /// Closes the connection at once; no callback follows.
     void cancel();
-    /// Watches an idle connection; a close or a stray byte makes it unusable.
+    /// Watches an idle connection: a close by the endpoint or an unexpected byte makes it unusable.
     void watchIdle();
-    /// @return whether an idle connection may carry another request.
+    /// @return whether the connection is open, idle and may carry another request.
     bool isUsable() const;
-    /// @return how many exchanges were begun.
+    /// @return number of exchanges started on this connection.
     uint64_t exchanges() const;
 
 private:
     using response_parser = boost::beast::http::response_parser<boost::beast::http::buffer_body>;
 
-    void connect(std::chrono::milliseconds limit);
+    void connect(std::chrono::milliseconds timeout);
     void write();
     void readHead();
-    void takeHead(const boost::system::error_code& error);
+    void handleHead(const boost::system::error_code& error);
     void readBody();
     void finish(exchange_end end);
 
--- a/Source/Core/Gateway/EventStream.cpp
+++ b/Source/Core/Gateway/EventStream.cpp
@@ -8,7 +8,7 @@
 
     constexpr std::string_view idField = "id:";
 
-    /// @return the event's id, when it has one that is a number.
+    /// @return the event's id, if it has a numeric one.
     std::optional<uint64_t> findId(std::string_view event)
     {
         size_t start = 0;
@@ -28,7 +28,7 @@
         return {};
     }
 
-    /// @return the length of the first complete event with its blank line, or zero.
+    /// @return the size in bytes of the first complete event including its blank line, or zero if there is none.
     size_t findEnd(std::string_view bytes)
     {
         const size_t plain = bytes.find("\n\n");
@@ -40,10 +40,10 @@
 
 } // namespace
 
-std::string takeEvents(event_reader& reader, std::string_view bytes)
+std::string extractEvents(event_reader& reader, std::string_view bytes)
 {
     reader.partial += bytes;
-    std::string passedOn;
+    std::string completeEvents;
     size_t start = 0;
     while (true) {
         const std::string_view rest = std::string_view(reader.partial).substr(start);
@@ -57,11 +57,11 @@
             continue;
         if (id)
             reader.lastId = id;
-        ++reader.events;
-        passedOn += event;
+        ++reader.eventCount;
+        completeEvents += event;
     }
     reader.partial.erase(0, start);
-    return passedOn;
+    return completeEvents;
 }
 
 void beginResumption(event_reader& reader)
--- a/Source/Core/Gateway/EventStream.h
+++ b/Source/Core/Gateway/EventStream.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// Finds the events of a stream in its bytes, so that a stream can go on at another endpoint without a gap or a repeat.
+/// Splits a byte stream into server-sent events, so that another endpoint can continue the stream without missing or
+/// duplicate events.
 
 #include <cstdint>
 #include <optional>
@@ -10,20 +11,20 @@
 
 namespace Gateway {
 
-/// The events seen so far and the bytes of an event that is not complete yet.
+/// Position in a stream of events.
 struct event_reader {
-    std::string partial;
-    std::optional<uint64_t> lastId; ///< Of the last complete event that was passed on.
-    std::optional<uint64_t> skipUpTo; ///< After a resumption: events up to this id are already with the caller.
-    uint64_t events { 0 };
+    std::string partial; ///< Bytes of an event that is not complete yet.
+    std::optional<uint64_t> lastId; ///< Id of the last complete event that was forwarded.
+    std::optional<uint64_t> skipUpTo; ///< After a resumption: the caller already has the events up to this id.
+    uint64_t eventCount { 0 }; ///< Forwarded events.
 };
 
 /// @param reader changed in place.
-/// @param bytes what arrived.
-/// @return the complete events that the caller does not have yet.
-std::string takeEvents(event_reader& reader, std::string_view bytes);
+/// @param bytes that have arrived; they may end anywhere within an event.
+/// @return the bytes of all complete events that the caller does not have yet.
+std::string extractEvents(event_reader& reader, std::string_view bytes);
 
-/// Prepares for the answer of another endpoint that goes on behind the last complete event.
+/// Prepares for the response of another endpoint, which continues after the last complete event.
 void beginResumption(event_reader& reader);
 
 } // namespace Gateway
--- a/Source/Core/Gateway/GatewayDuty.cpp
+++ b/Source/Core/Gateway/GatewayDuty.cpp
@@ -28,17 +28,18 @@
     using boost::system::error_code;
 
     constexpr size_t ringCapacity = 4096;
-    /// Taken off an endpoint's time budget for the way back.
-    constexpr milliseconds returnAllowance { 5 };
-    /// Connecting within a region takes tens of milliseconds; a silent machine must not eat the time budget.
-    constexpr milliseconds connectLimit { 400 };
-    /// An attempt with less time left than this is not worth its arrival.
-    constexpr milliseconds leastAttemptTime { 20 };
-    /// Callers that were refused for want of an endpoint may come back after this.
-    constexpr milliseconds retryWithoutEndpoint { 500 };
-    /// A leaving node takes short requests this long: callers keep a directory answer for three times its life at most.
-    constexpr double takesWorkShareOfGrace = 0.75;
-    constexpr uint32_t mostUrgency = 9;
+    /// Subtracted from the time budget sent to an endpoint, to leave time for the response's way back.
+    constexpr milliseconds responseTimeMargin { 5 };
+    /// Connecting within a region takes tens of milliseconds; an unreachable machine must not use up the time budget.
+    constexpr milliseconds connectTimeout { 400 };
+    /// With less time left than this, no further attempt is made.
+    constexpr milliseconds minAttemptTime { 20 };
+    /// Retry-After when none of the tried endpoints ran the request.
+    constexpr milliseconds retryAfterNoEndpoint { 500 };
+    /// A leaving node still accepts short requests for this share of the grace period, because callers may use a directory
+    /// answer for up to three times its lifetime.
+    constexpr double acceptingShareOfGrace = 0.75;
+    constexpr uint32_t leastUrgentLevel = 9;
 
     Common::instant clockNow()
     {
@@ -71,9 +72,9 @@
     session_events sessionEvents;
     channel_pool channels { context };
     std::unordered_set<caller_session_pointer> sessions;
-    std::unordered_map<caller_session*, std::unique_ptr<call>> calls;
+    std::unordered_map<caller_session*, std::unique_ptr<proxied_call>> calls;
     std::atomic<size_t> callCount { 0 };
-    uint64_t lastCall { 0 };
+    uint64_t lastCallId { 0 };
 
     gateway_state state;
 
@@ -107,267 +108,267 @@
 
     void setSessionEvents()
     {
-        sessionEvents.onRequest = [this](const caller_session_pointer& session, arrived_request&& request) { begin(session, std::move(request)); };
-        sessionEvents.onGone = [this](caller_session& session) { abandon(session); };
+        sessionEvents.onRequest = [this](const caller_session_pointer& session, arrived_request&& request) { handleRequest(session, std::move(request)); };
+        sessionEvents.onCallerDisconnected = [this](caller_session& session) { abandon(session); };
         sessionEvents.onClosed = [this](caller_session& session) { sessions.erase(session.shared_from_this()); };
         sessionEvents.limits = [this] { return state.catalog ? state.catalog->limits : Catalog::input_limits {}; };
     }
 
-    // --- A request from its arrival to its placement
+    // --- From the arrival of a request to its placement
 
-    void begin(const caller_session_pointer& session, arrived_request&& request)
+    void handleRequest(const caller_session_pointer& session, arrived_request&& request)
     {
-        auto owned = std::make_unique<call>();
-        call& item = *owned;
-        item.id = { ++lastCall };
-        item.session = session;
-        item.arrived = clockNow();
-        item.facts = settings.wire.readRequest(request.headers);
-        item.request = std::move(request);
+        auto owned = std::make_unique<proxied_call>();
+        proxied_call& call = *owned;
+        call.id = { ++lastCallId };
+        call.session = session;
+        call.arrived = clockNow();
+        call.facts = settings.wire.readRequest(request.headers);
+        call.request = std::move(request);
         calls[session.get()] = std::move(owned);
         callCount = calls.size();
-        const std::optional<own_answer> refusal = admit(state, item);
-        if (refusal)
-            return refuse(item, *refusal);
-        startTimer(item);
-        place(item);
+        const std::optional<request_rejection> rejection = admit(state, call);
+        if (rejection)
+            return refuse(call, *rejection);
+        startTimer(call);
+        place(call);
     }
 
-    void startTimer(call& item)
+    void startTimer(proxied_call& call)
     {
-        item.timer = std::make_unique<boost::asio::steady_timer>(context, item.deadline);
-        item.timer->async_wait([this, session = item.session.get(), id = item.id](const error_code& error) {
+        call.timer = std::make_unique<boost::asio::steady_timer>(context, call.deadline);
+        call.timer->async_wait([this, session = call.session.get(), id = call.id](const error_code& error) {
             if (error)
                 return;
-            call* late = find(session, id);
-            if (late)
-                expire(*late);
+            proxied_call* expired = find(session, id);
+            if (expired)
+                expire(*expired);
         });
     }
 
-    void place(call& item)
+    void place(proxied_call& call)
     {
-        const auto placed = choose(state, item, clockNow());
+        const auto placed = choosePlacement(state, call, clockNow());
         if (placed)
-            return send(item, *placed);
-        if (item.progress.endpointsRun > 0 || item.progress.hasHeadSent)
-            return failUnknown(item, Scheduling::nameOf(placed.error().reason));
-        refuse(item, { 503, Scheduling::nameOf(placed.error().reason), placed.error().retryAfter });
+            return startAttempt(call, *placed);
+        if (call.progress.endpointsRun > 0 || call.progress.hasHeadSent)
+            return failUnknown(call, Scheduling::nameOf(placed.error().reason));
+        refuse(call, { 503, Scheduling::nameOf(placed.error().reason), placed.error().retryAfter });
     }
 
     // --- An attempt at an endpoint
 
-    void send(call& item, const Scheduling::placement& where)
-    {
-        item.current.emplace();
-        item.current->where = where;
-        item.current->version = state.scheduler.endpoints.at(where.endpoint).facts.version;
-        item.tried.insert(where.endpoint);
-        ++item.sends;
-        noteDemand(state, item);
-        attempt_facts told;
-        told.timeBudget = std::max(milliseconds(1), std::chrono::duration_cast<milliseconds>(item.deadline - clockNow()) - returnAllowance);
-        told.endpoint = where.endpoint;
-        told.account = item.account;
-        if (item.facts.model)
-            told.urgency = std::min(item.urgency, mostUrgency);
-        if (item.events.lastId)
-            told.resumeAfter = std::to_string(*item.events.lastId);
-        item.current->channel = channels.take(where.address, item.route->kind == Catalog::route_kind::Idempotent);
-        observe(item, attempt_seen::event::Begun);
-        item.current->channel->exchange(writeRequest(item, settings.wire.writeAttempt(item.facts, told)), connectLimit, makeEvents(item));
-    }
-
-    exchange_events makeEvents(const call& item)
+    void startAttempt(proxied_call& call, const Scheduling::placement& placement)
+    {
+        call.currentAttempt.emplace();
+        call.currentAttempt->placement = placement;
+        call.currentAttempt->version = state.scheduler.endpoints.at(placement.endpoint).facts.version;
+        call.triedEndpoints.insert(placement.endpoint);
+        ++call.attemptCount;
+        recordDemand(state, call);
+        attempt_facts attemptFacts;
+        attemptFacts.timeBudget = std::max(milliseconds(1), std::chrono::duration_cast<milliseconds>(call.deadline - clockNow()) - responseTimeMargin);
+        attemptFacts.endpoint = placement.endpoint;
+        attemptFacts.account = call.account;
+        if (call.facts.model)
+            attemptFacts.urgency = std::min(call.urgency, leastUrgentLevel);
+        if (call.events.lastId)
+            attemptFacts.resumeAfter = std::to_string(*call.events.lastId);
+        call.currentAttempt->channel = channels.acquire(placement.address, call.route->kind == Catalog::route_kind::Idempotent);
+        reportAttemptEvent(call, attempt_seen::event::Begun);
+        call.currentAttempt->channel->exchange(writeRequest(call, settings.wire.writeAttempt(call.facts, attemptFacts)), connectTimeout, makeEvents(call));
+    }
+
+    exchange_events makeEvents(const proxied_call& call)
     {
         exchange_events events;
-        caller_session* session = item.session.get();
-        const call_id id = item.id;
+        caller_session* session = call.session.get();
+        const call_id id = call.id;
         events.onHead = [this, session, id](int status, const std::vector<Http::header>& headers) {
-            call* known = find(session, id);
-            return known && takeHead(*known, status, headers);
+            proxied_call* activeCall = find(session, id);
+            return activeCall && handleHead(*activeCall, status, headers);
         };
         events.onBytes = [this, session, id](std::string_view bytes) {
-            call* known = find(session, id);
-            if (known)
-                takeBytes(*known, bytes);
+            proxied_call* activeCall = find(session, id);
+            if (activeCall)
+                handleBytes(*activeCall, bytes);
         };
         events.onEnd = [this, session, id](exchange_end end, bool isReusable) {
-            call* known = find(session, id);
-            if (known)
-                takeEnd(*known, end, isReusable);
+            proxied_call* activeCall = find(session, id);
+            if (activeCall)
+                handleEnd(*activeCall, end, isReusable);
         };
         return events;
     }
 
-    bool takeHead(call& item, int status, const std::vector<Http::header>& headers)
+    bool handleHead(proxied_call& call, int status, const std::vector<Http::header>& headers)
     {
-        attempt& current = *item.current;
+        attempt& current = *call.currentAttempt;
         current.status = status;
-        current.answer = settings.wire.readAnswer(headers);
-        if (current.answer.load)
-            Scheduling::noteStatedLoad(state.scheduler, current.where.endpoint, *current.answer.load, clockNow());
-        current.isForeign = !item.facts.attemptId.empty() && !current.answer.attemptId.empty() && current.answer.attemptId != item.facts.attemptId;
-        const bool isTrusted = !current.isForeign && current.answer.isSealed && !current.answer.hasContentEncoding;
+        current.response = settings.wire.readAnswer(headers);
+        if (current.response.load)
+            Scheduling::noteStatedLoad(state.scheduler, current.placement.endpoint, *current.response.load, clockNow());
+        current.isForOtherRequest = !call.facts.attemptId.empty() && !current.response.attemptId.empty() && current.response.attemptId != call.facts.attemptId;
+        const bool isTrusted = !current.isForOtherRequest && current.response.isSealed && !current.response.hasContentEncoding;
         if (isSuccess(status) && !isTrusted)
             return false;
-        current.hasEvents = isSuccess(status) && item.route->kind == Catalog::route_kind::Stream;
-        return !current.isForeign;
+        current.hasEvents = isSuccess(status) && call.route->kind == Catalog::route_kind::Stream;
+        return !current.isForOtherRequest;
     }
 
-    void takeBytes(call& item, std::string_view bytes)
+    void handleBytes(proxied_call& call, std::string_view bytes)
     {
-        attempt& current = *item.current;
-        if (!current.hasBegun)
-            noteBegun(item);
+        attempt& current = *call.currentAttempt;
+        if (!current.isStartRecorded)
+            recordStart(call);
         if (!current.hasEvents) {
             current.body += bytes;
             return;
         }
-        const std::string events = takeEvents(item.events, bytes);
+        const std::string events = extractEvents(call.events, bytes);
         if (events.empty())
             return;
-        if (!item.progress.hasHeadSent) {
-            item.progress.hasHeadSent = true;
-            item.firstByteMs = toMs(clockNow() - item.arrived);
-            item.session->beginStream(current.status, current.answer.passedOn, isLeaving());
+        if (!call.progress.hasHeadSent) {
+            call.progress.hasHeadSent = true;
+            call.firstByteMs = toMs(clockNow() - call.arrived);
+            call.session->beginStream(current.status, current.response.passedOn, isLeaving());
         }
-        item.session->streamBytes(events);
+        call.session->streamBytes(events);
     }
 
-    void noteBegun(call& item)
+    void recordStart(proxied_call& call)
     {
-        attempt& current = *item.current;
-        current.hasBegun = true;
-        if (current.answer.hasNotRun)
+        attempt& current = *call.currentAttempt;
+        current.isStartRecorded = true;
+        if (current.response.hasNotRun)
             return;
         const Common::instant now = clockNow();
         if (isSuccess(current.status))
-            Scheduling::noteBegun(state.scheduler, current.where.endpoint, current.where.id, now);
-        if (item.isCounted)
+            Scheduling::noteBegun(state.scheduler, current.placement.endpoint, current.placement.id, now);
+        if (call.isUsageRecorded)
             return;
-        item.isCounted = true;
-        if (!item.account.value.empty())
-            state.interval.begun.push_back({ item.account, now });
+        call.isUsageRecorded = true;
+        if (!call.account.value.empty())
+            state.interval.begun.push_back({ call.account, now });
     }
 
-    void takeEnd(call& item, exchange_end end, bool isReusable)
+    void handleEnd(proxied_call& call, exchange_end end, bool isReusable)
     {
-        attempt& current = *item.current;
+        attempt& current = *call.currentAttempt;
         if (isReusable)
-            channels.giveBack(current.where.address, current.channel, current.answer.keepAlive);
-        const attempt_end outcome = classify(item, end);
-        if (outcome != attempt_end::NotSent && outcome != attempt_end::NotRun && !current.hasBegun)
-            noteBegun(item);
-        noteAttemptEnd(item, outcome);
-        follow(item, outcome, decide(item, outcome));
+            channels.release(current.placement.address, current.channel, current.response.keepAlive);
+        const attempt_end outcome = classify(call, end);
+        if (outcome != attempt_end::NotSent && outcome != attempt_end::NotRun && !current.isStartRecorded)
+            recordStart(call);
+        recordAttemptEnd(call, outcome);
+        performStep(call, outcome, decideWithinRetryBudget(call, outcome));
     }
 
-    void noteAttemptEnd(call& item, attempt_end outcome)
+    void recordAttemptEnd(proxied_call& call, attempt_end outcome)
     {
-        attempt& current = *item.current;
-        Scheduling::noteEnded(state.scheduler, current.where.endpoint, current.where.id, placementEndOf(outcome), clockNow());
-        Common::countMetric(fmt::format("filbertreel_attempts_total{{service=\"{}\",end=\"{}\"}}", item.service.value, nameOf(outcome)));
-        observe(item, seenEventOf(item, outcome, clockNow()));
+        attempt& current = *call.currentAttempt;
+        Scheduling::noteEnded(state.scheduler, current.placement.endpoint, current.placement.id, placementEndOf(outcome), clockNow());
+        Common::countMetric(fmt::format("filbertreel_attempts_total{{service=\"{}\",end=\"{}\"}}", call.service.value, nameOf(outcome)));
+        reportAttemptEvent(call, versionEventOf(call, outcome, clockNow()));
         if (outcome == attempt_end::NotSent || outcome == attempt_end::NotRun)
-            ++item.progress.refusals;
+            ++call.progress.refusals;
         else
-            ++item.progress.endpointsRun;
+            ++call.progress.endpointsRun;
     }
 
-    void observe(const call& item, attempt_seen::event what) const
+    void reportAttemptEvent(const proxied_call& call, attempt_seen::event event) const
     {
-        if (outlets.attemptSeen && state.versionShares.contains(item.service))
-            outlets.attemptSeen({ item.service, item.current->version, item.route->name, what });
+        if (outlets.attemptSeen && state.versionShares.contains(call.service))
+            outlets.attemptSeen({ call.service, call.currentAttempt->version, call.route->name, event });
     }
 
-    next_step decide(call& item, attempt_end outcome)
+    next_step decideWithinRetryBudget(proxied_call& call, attempt_end outcome)
     {
-        item.progress.hasTimeLeft = item.deadline - clockNow() > leastAttemptTime;
-        next_step step = decideNext(item.progress, outcome);
-        if (step != next_step::TryAnother || Limits::takeRepeat(state.repeats, item.service, clockNow()))
+        call.progress.hasTimeLeft = call.deadline - clockNow() > minAttemptTime;
+        next_step step = decideNext(call.progress, outcome);
+        if (step != next_step::Retry || Limits::takeRepeat(state.repeats, call.service, clockNow()))
             return step;
         Common::countMetric("filbertreel_repeats_refused_total");
-        item.progress.hasTimeLeft = false;
-        return decideNext(item.progress, outcome);
+        call.progress.hasTimeLeft = false;
+        return decideNext(call.progress, outcome);
     }
 
-    void follow(call& item, attempt_end outcome, next_step step)
+    void performStep(proxied_call& call, attempt_end outcome, next_step step)
     {
         switch (step) {
-        case next_step::TryAnother:
-        case next_step::TryAnotherFreely:
-            logAttempt(item, outcome);
-            if (item.progress.hasHeadSent)
-                beginResumption(item.events);
-            return place(item);
-        case next_step::GiveAnswer:
-            return giveAnswer(item);
+        case next_step::Retry:
+        case next_step::RetryUnbudgeted:
+            logRetry(call, outcome);
+            if (call.progress.hasHeadSent)
+                beginResumption(call.events);
+            return place(call);
+        case next_step::ForwardResponse:
+            return forwardResponse(call);
         case next_step::Refuse:
-            return refuse(item, { 503, nameOf(outcome), retryWithoutEndpoint });
+            return refuse(call, { 503, nameOf(outcome), retryAfterNoEndpoint });
         case next_step::FailUnknown:
-            return failUnknown(item, nameOf(outcome));
+            return failUnknown(call, nameOf(outcome));
         case next_step::FailTimeout:
-            return fail(item, 504, nameOf(outcome));
-        case next_step::CutAnswer:
-            return cut(item, nameOf(outcome));
+            return fail(call, 504, nameOf(outcome));
+        case next_step::AbortResponse:
+            return abortResponse(call, nameOf(outcome));
         }
     }
 
-    // --- Ends of a request
+    // --- Ending a request
 
-    void giveAnswer(call& item)
+    void forwardResponse(proxied_call& call)
     {
-        attempt& current = *item.current;
-        if (item.progress.hasHeadSent) {
-            item.session->endStream();
+        attempt& current = *call.currentAttempt;
+        if (call.progress.hasHeadSent) {
+            call.session->endStream();
         } else {
-            item.firstByteMs = toMs(clockNow() - item.arrived);
-            item.session->respond(current.status, current.answer.passedOn, current.body, isLeaving());
+            call.firstByteMs = toMs(clockNow() - call.arrived);
+            call.session->respond(current.status, current.response.passedOn, current.body, isLeaving());
         }
-        finish(item, "answered", current.status);
+        finish(call, "answered", current.status);
     }
 
-    void refuse(call& item, const own_answer& answer)
+    void refuse(proxied_call& call, const request_rejection& rejection)
     {
-        if (item.granted > 0)
-            Quota::giveBack(state.quota, item.account, item.granted);
-        Common::countMetric(fmt::format("filbertreel_refusals_total{{reason=\"{}\"}}", answer.reason));
-        std::optional<milliseconds> retryAfter = answer.retryAfter;
-        if (retryAfter && item.facts.timeBudget)
-            retryAfter = std::min(*retryAfter, *item.facts.timeBudget / 3);
-        item.session->respond(answer.status, settings.wire.writeOwnAnswer(item.facts, retryAfter), errorBody(answer.reason), isLeaving());
-        finish(item, answer.reason, answer.status);
+        if (call.allowanceTaken > 0)
+            Quota::giveBack(state.quota, call.account, call.allowanceTaken);
+        Common::countMetric(fmt::format("filbertreel_refusals_total{{reason=\"{}\"}}", rejection.reason));
+        std::optional<milliseconds> retryAfter = rejection.retryAfter;
+        if (retryAfter && call.facts.timeBudget)
+            retryAfter = std::min(*retryAfter, *call.facts.timeBudget / 3);
+        call.session->respond(rejection.status, settings.wire.writeOwnAnswer(call.facts, retryAfter), errorBody(rejection.reason), isLeaving());
+        finish(call, rejection.reason, rejection.status);
     }
 
-    void failUnknown(call& item, std::string_view reason)
+    void failUnknown(proxied_call& call, std::string_view reason)
     {
-        if (item.progress.hasHeadSent)
-            return cut(item, reason);
-        fail(item, 502, reason);
+        if (call.progress.hasHeadSent)
+            return abortResponse(call, reason);
+        fail(call, 502, reason);
     }
 
-    void fail(call& item, int status, std::string_view reason)
+    void fail(proxied_call& call, int status, std::string_view reason)
     {
-        item.session->respond(status, settings.wire.writeOwnAnswer(item.facts, {}), errorBody(reason), isLeaving());
-        finish(item, reason, status);
+        call.session->respond(status, settings.wire.writeOwnAnswer(call.facts, {}), errorBody(reason), isLeaving());
+        finish(call, reason, status);
     }
 
-    void cut(call& item, std::string_view reason)
+    void abortResponse(proxied_call& call, std::string_view reason)
     {
-        const caller_session_pointer session = item.session;
-        finish(item, reason, 0);
+        const caller_session_pointer session = call.session;
+        finish(call, reason, 0);
         session->abort();
     }
 
-    void expire(call& item)
+    void expire(proxied_call& call)
     {
-        if (!item.current || !item.current->channel) {
-            return refuse(item, { 503, "too_late", {} });
+        if (!call.currentAttempt || !call.currentAttempt->channel) {
+            return refuse(call, { 503, "too_late", {} });
         }
-        item.current->channel->cancel();
-        noteAttemptEnd(item, attempt_end::TimedOut);
-        follow(item, attempt_end::TimedOut, decideNext(item.progress, attempt_end::TimedOut));
+        call.currentAttempt->channel->cancel();
+        recordAttemptEnd(call, attempt_end::TimedOut);
+        performStep(call, attempt_end::TimedOut, decideNext(call.progress, attempt_end::TimedOut));
     }
 
     void abandon(caller_session& session)
@@ -375,53 +376,53 @@
         const auto found = calls.find(&session);
         if (found == calls.end())
             return;
-        call& item = *found->second;
-        if (item.current && item.current->channel) {
-            item.current->channel->cancel();
-            Scheduling::noteEnded(state.scheduler, item.current->where.endpoint, item.current->where.id, Scheduling::placement_end::Abandoned, clockNow());
-            observe(item, attempt_seen::event::Abandoned);
+        proxied_call& call = *found->second;
+        if (call.currentAttempt && call.currentAttempt->channel) {
+            call.currentAttempt->channel->cancel();
+            Scheduling::noteEnded(state.scheduler, call.currentAttempt->placement.endpoint, call.currentAttempt->placement.id, Scheduling::placement_end::Abandoned, clockNow());
+            reportAttemptEvent(call, attempt_seen::event::Abandoned);
         }
-        finish(item, "caller_gone", 0);
+        finish(call, "caller_gone", 0);
     }
 
-    void finish(call& item, std::string_view outcome, int status)
+    void finish(proxied_call& call, std::string_view outcome, int status)
     {
-        logEnd(item, outcome, status, clockNow());
-        if (item.route)
-            Common::countMetric(fmt::format("filbertreel_requests_total{{route=\"{}\",outcome=\"{}\"}}", item.route->name.value, outcome));
-        if (item.firstByteMs > 0)
-            Common::observeMetric("filbertreel_first_byte_seconds", item.firstByteMs / 1000);
-        calls.erase(item.session.get());
+        logEnd(call, outcome, status, clockNow());
+        if (call.route)
+            Common::countMetric(fmt::format("filbertreel_requests_total{{route=\"{}\",outcome=\"{}\"}}", call.route->name.value, outcome));
+        if (call.firstByteMs > 0)
+            Common::observeMetric("filbertreel_first_byte_seconds", call.firstByteMs / 1000);
+        calls.erase(call.session.get());
         callCount = calls.size();
     }
 
-    call* find(caller_session* session, call_id id)
+    proxied_call* find(caller_session* session, call_id id)
     {
         const auto found = calls.find(session);
         return found != calls.end() && found->second->id == id ? found->second.get() : nullptr;
     }
 
-    // --- What other duties tell
+    // --- Messages from other duties
 
-    void takeMessages()
+    void handleMessages()
     {
         inbox.drainInto(batch);
         for (gateway_message& message : batch)
-            std::visit([this](auto& item) { take(item); }, message);
+            std::visit([this](auto& payload) { handle(payload); }, message);
     }
 
     template <typename message_type>
-    void take(const message_type& message)
+    void handle(const message_type& message)
     {
-        learn(state, message, clockNow());
+        applyMessage(state, message, clockNow());
     }
 
-    void take(const leave_begun& message)
+    void handle(const leave_begun& message)
     {
         if (isLeaving())
             return;
-        learn(state, message, clockNow());
-        leaveTimer.expires_after(std::chrono::duration_cast<milliseconds>(state.grace * takesWorkShareOfGrace));
+        applyMessage(state, message, clockNow());
+        leaveTimer.expires_after(std::chrono::duration_cast<milliseconds>(state.grace * acceptingShareOfGrace));
         leaveTimer.async_wait([this](const error_code& error) {
             if (error)
                 return;
@@ -437,14 +438,14 @@
 
     // --- Reports to other duties
 
-    void reportLater()
+    void scheduleReport()
     {
-        reportTimer.expires_after(reportWait(state));
+        reportTimer.expires_after(currentReportInterval(state));
         reportTimer.async_wait([this](const error_code& error) {
             if (error)
                 return;
-            outlets.report(takeReport(state, settings.facts, settings.incarnation, calls.size(), clockNow()));
-            reportLater();
+            outlets.report(collectReport(state, settings.facts, settings.incarnation, calls.size(), clockNow()));
+            scheduleReport();
         });
     }
 };
@@ -457,7 +458,7 @@
     self.outlets = std::move(outlets);
     self.state = makeGatewayState(self.settings.facts, self.settings.seed);
     self.setSessionEvents();
-    self.inbox.setWaker([&self] { boost::asio::post(self.context, [&self] { self.takeMessages(); }); });
+    self.inbox.setWaker([&self] { boost::asio::post(self.context, [&self] { self.handleMessages(); }); });
 }
 
 gateway_duty::~gateway_duty() = default;
@@ -470,7 +471,7 @@
 void gateway_duty::run()
 {
     m_implementation->open();
-    m_implementation->reportLater();
+    m_implementation->scheduleReport();
     m_implementation->context.run();
 }
 
--- a/Source/Core/Gateway/GatewayDuty.h
+++ b/Source/Core/Gateway/GatewayDuty.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// The gateway duty: the thread that takes callers' requests, places them at endpoints and passes answers on unread.
+/// The gateway duty: the thread that accepts callers' requests, places them at endpoints and forwards the responses
+/// without interpreting their bodies.
 
 #include "Fleet/NodeFacts.h"
 #include "Gateway/Messages.h"
@@ -12,7 +13,7 @@
 
 namespace Gateway {
 
-/// Where the duty's findings go. None of the functions may block.
+/// Receivers of the duty's reports. They are called on its thread and must not block.
 struct gateway_outlets {
     std::function<void(interval_report&&)> report;
     std::function<void(attempt_seen&&)> attemptSeen;
@@ -32,10 +33,10 @@
     gateway_duty(const gateway_duty&) = delete;
     gateway_duty& operator=(const gateway_duty&) = delete;
 
-    /// Hands a message over; may be called from any thread.
-    /// @return whether the ring took it.
+    /// Queues a message; may be called from any thread.
+    /// @return false if the inbox ring is full.
     bool submit(gateway_message&& message);
-    /// Serves until stop(). Throws std::exception when the address can't be bound.
+    /// Serves requests until stop(). Throws std::exception if the listen address can't be bound.
     void run();
     /// Ends run(); may be called from any thread.
     void stop();
--- a/Source/Core/Gateway/GatewayState.cpp
+++ b/Source/Core/Gateway/GatewayState.cpp
@@ -9,11 +9,14 @@
 
 namespace {
 
-    /// How often grants, usage and demand are reported: the allowances are shared within this time.
-    constexpr milliseconds reportInterval { 250 };
+    /// Interval of reports of grants, usage and demand in a small cluster. Nodes see each other's use of the allowances
+    /// with this delay.
+    constexpr milliseconds minReportInterval { 250 };
+    /// Added to the time after which a peer counts as silent, as reports arrive with varying delay.
     constexpr milliseconds reportSlack { 150 };
-    constexpr size_t nodesPerStretch = 20;
-    /// A peer is silent when so many of its reports in a row are missing.
+    /// With more nodes than this, the interval is a multiple of the minimum, so that the number of reports stays bounded.
+    constexpr size_t nodesPerIntervalMultiple = 20;
+    /// A peer counts as silent after this many consecutive missed reports.
     constexpr int missedReports = 3;
 
 } // namespace
@@ -29,12 +32,12 @@
     return made;
 }
 
-milliseconds reportWait(const gateway_state& state)
+milliseconds currentReportInterval(const gateway_state& state)
 {
-    return reportInterval * std::max<int64_t>(1, static_cast<int64_t>(state.repeats.nodes / nodesPerStretch));
+    return minReportInterval * std::max<int64_t>(1, static_cast<int64_t>(state.repeats.nodes / nodesPerIntervalMultiple));
 }
 
-void learn(gateway_state& state, const catalog_known& message, Common::instant now)
+void applyMessage(gateway_state& state, const catalog_known& message, Common::instant now)
 {
     if (state.catalog && message.catalog->version <= state.catalog->version)
         return;
@@ -43,12 +46,12 @@
     Common::setMetric("filbertreel_catalog_version", static_cast<double>(state.catalog->version));
 }
 
-void learn(gateway_state& state, const endpoints_known& message, Common::instant now)
+void applyMessage(gateway_state& state, const endpoints_known& message, Common::instant now)
 {
-    for (const auto& [id, item] : message.endpoints)
-        Scheduling::noteEndpoint(state.scheduler, item, now);
+    for (const auto& [id, endpoint] : message.endpoints)
+        Scheduling::noteEndpoint(state.scheduler, endpoint, now);
     std::vector<Common::endpoint_id> gone;
-    for (const auto& [id, item] : state.scheduler.endpoints) {
+    for (const auto& [id, endpoint] : state.scheduler.endpoints) {
         if (!message.endpoints.contains(id))
             gone.push_back(id);
     }
@@ -56,30 +59,30 @@
         Scheduling::dropEndpoint(state.scheduler, id);
 }
 
-void learn(gateway_state& state, const peers_known& message, Common::instant now)
+void applyMessage(gateway_state& state, const peers_known& message, Common::instant now)
 {
     Quota::setPeers(state.quota, message.peers, now);
     state.repeats.nodes = message.peers.size() + 1;
-    state.quota.silence = missedReports * reportWait(state) + reportSlack;
+    state.quota.silence = missedReports * currentReportInterval(state) + reportSlack;
 }
 
-void learn(gateway_state& state, const grants_heard& message, Common::instant now)
+void applyMessage(gateway_state& state, const grants_heard& message, Common::instant now)
 {
     Quota::hearReport(state.quota, message.report, now);
 }
 
-void learn(gateway_state& state, const version_share_known& message, Common::instant)
+void applyMessage(gateway_state& state, const version_share_known& message, Common::instant)
 {
     state.versionShares[message.service] = message;
 }
 
-void learn(gateway_state& state, const leave_begun&, Common::instant now)
+void applyMessage(gateway_state& state, const leave_begun&, Common::instant now)
 {
     if (!state.leavingSince)
         state.leavingSince = now;
 }
 
-interval_report takeReport(gateway_state& state, const Fleet::node_facts& facts, Common::incarnation_number incarnation, size_t inFlight, Common::instant now)
+interval_report collectReport(gateway_state& state, const Fleet::node_facts& facts, Common::incarnation_number incarnation, size_t inFlight, Common::instant now)
 {
     interval_report report = std::exchange(state.interval, {});
     report.grants = Quota::makeReport(state.quota, now);
@@ -87,7 +90,7 @@
     report.grants.incarnation = incarnation;
     report.demand.node = facts.node;
     report.demand.zone = facts.zone;
-    report.demand.interval = reportWait(state);
+    report.demand.interval = currentReportInterval(state);
     report.inFlight = inFlight;
     return report;
 }
--- a/Source/Core/Gateway/GatewayState.h
+++ b/Source/Core/Gateway/GatewayState.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What the gateway knows and decides by. No clock, no socket.
+/// The state that the gateway's decisions are based on. Reads no clock and no socket.
 
 #include "Fleet/NodeFacts.h"
 #include "Gateway/Messages.h"
@@ -16,41 +16,42 @@
 using std::chrono::milliseconds;
 
 struct gateway_state {
-    milliseconds grace { 8000 }; ///< From the begin of leaving to the end of the process.
-    Catalog::catalog_pointer catalog; ///< Empty until the first one is known.
+    milliseconds grace { 8000 }; ///< From the start of leaving to the end of the process.
+    Catalog::catalog_pointer catalog; ///< Null until the first catalog is received.
     Scheduling::scheduler_state scheduler;
     Quota::ledger quota;
     Limits::repeat_budgets repeats;
     std::map<Common::service_name, version_share_known> versionShares;
-    interval_report interval; ///< Since the last report.
+    interval_report interval; ///< Collected since the last report.
     std::optional<Common::instant> leavingSince;
 };
 
-/// @param facts what the platform tells this node of itself.
-/// @param seed of its random draws.
-/// @return the state of a gateway that knows no catalog and no endpoint yet.
+/// @param facts the platform's description of this node.
+/// @param seed of the random numbers used in decisions.
+/// @return the initial state, without a catalog and without endpoints.
 gateway_state makeGatewayState(const Fleet::node_facts& facts, uint64_t seed);
 
-/// @return the time between two reports: every node tells every other, so with more nodes each tells less often.
-milliseconds reportWait(const gateway_state& state);
+/// @return the time between two reports. Every node reports to every other, so it grows with the number of nodes.
+milliseconds currentReportInterval(const gateway_state& state);
 
-/// Takes what another duty tells.
+/// Applies a message of another duty.
 /// @param state changed in place.
-/// @param message the news; a catalog that is no newer changes nothing.
-/// @param now the present time.
-void learn(gateway_state& state, const catalog_known& message, Common::instant now);
-void learn(gateway_state& state, const endpoints_known& message, Common::instant now);
-void learn(gateway_state& state, const peers_known& message, Common::instant now);
-void learn(gateway_state& state, const grants_heard& message, Common::instant now);
-void learn(gateway_state& state, const version_share_known& message, Common::instant now);
-void learn(gateway_state& state, const leave_begun& message, Common::instant now);
-
-/// @param state its interval starts anew.
-/// @param facts this node.
+/// @param message a catalog whose version is not newer than the current one is ignored.
+/// @param now current time.
+void applyMessage(gateway_state& state, const catalog_known& message, Common::instant now);
+void applyMessage(gateway_state& state, const endpoints_known& message, Common::instant now);
+void applyMessage(gateway_state& state, const peers_known& message, Common::instant now);
+void applyMessage(gateway_state& state, const grants_heard& message, Common::instant now);
+void applyMessage(gateway_state& state, const version_share_known& message, Common::instant now);
+void applyMessage(gateway_state& state, const leave_begun& message, Common::instant now);
+
+/// Ends the current report interval and starts the next.
+/// @param state its interval report is reset.
+/// @param facts of this node.
 /// @param incarnation of this node's process.
 /// @param inFlight requests in progress.
-/// @param now the present time.
-/// @return what the other duties need to know of the interval that ends now.
-interval_report takeReport(gateway_state& state, const Fleet::node_facts& facts, Common::incarnation_number incarnation, size_t inFlight, Common::instant now);
+/// @param now current time.
+/// @return the report of the ended interval, for the other duties.
+interval_report collectReport(gateway_state& state, const Fleet::node_facts& facts, Common::incarnation_number incarnation, size_t inFlight, Common::instant now);
 
 } // namespace Gateway
--- a/Source/Core/Gateway/Messages.h
+++ b/Source/Core/Gateway/Messages.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What other duties tell the gateway, and what it tells them.
+/// Messages from other duties to the gateway, and its reports to them.
 
 #include "Catalog/Catalog.h"
 #include "Common/Ids.h"
@@ -21,34 +21,34 @@
     Catalog::catalog_pointer catalog;
 };
 
-/// All endpoints that are known now.
+/// The complete set of known endpoints.
 struct endpoints_known {
     Fleet::endpoint_map endpoints;
 };
 
-/// The other nodes that may be serving now.
+/// The other nodes that may be serving requests.
 struct peers_known {
     std::set<Common::node_id> peers;
 };
 
-/// What another node has granted to client accounts.
+/// Another node's report of what it has granted to client accounts.
 struct grants_heard {
     Quota::node_report report;
 };
 
-/// The part of a service's requests that goes to a version that is being rolled out.
+/// The share of a service's requests that goes to the version being rolled out.
 struct version_share_known {
     Common::service_name service;
     Common::version_name fresh;
     uint32_t thousandths { 0 };
 };
 
-/// This node begins to leave.
+/// This node starts to leave the cluster and drains its requests.
 struct leave_begun { };
 
 using gateway_message = std::variant<catalog_known, endpoints_known, peers_known, grants_heard, version_share_known, leave_begun>;
 
-/// How an attempt ended, for the judgement of a version.
+/// The start or end of an attempt, from which a rollout evaluates the version.
 struct attempt_seen {
     enum class event {
         Begun,
@@ -64,7 +64,7 @@
     event what { event::Begun };
 };
 
-/// What the gateway has seen since its last report.
+/// Usage, demand and grants since the last report.
 struct interval_report {
     std::vector<Usage::begun_request> begun;
     Scaling::node_demand demand;
--- a/Source/Core/Gateway/Placing.cpp
+++ b/Source/Core/Gateway/Placing.cpp
@@ -4,47 +4,47 @@
 
 namespace {
 
-    Scheduling::work workOf(const call& item)
+    Scheduling::work workOf(const proxied_call& call)
     {
         Scheduling::work work;
-        work.service = item.service;
-        work.model = item.facts.model;
-        work.arrived = item.arrived;
-        work.deadline = item.deadline;
+        work.service = call.service;
+        work.model = call.facts.model;
+        work.arrived = call.arrived;
+        work.deadline = call.deadline;
         return work;
     }
 
-    /// During a rollout a drawn part of the requests goes to the fresh version, and no other.
-    void limitVersion(gateway_state& state, const call& item, Scheduling::placement_limits& limits)
+    /// During a rollout a randomly selected share of the requests goes to the new version, all others to the old ones.
+    void restrictVersions(gateway_state& state, const proxied_call& call, Scheduling::placement_limits& limits)
     {
         constexpr uint32_t thousandths = 1000;
-        const auto known = state.versionShares.find(item.service);
+        const auto known = state.versionShares.find(call.service);
         if (known == state.versionShares.end())
             return;
-        const bool isDrawn = Common::uniformBelow(state.scheduler.random, thousandths) < known->second.thousandths;
-        (isDrawn ? limits.onlyVersion : limits.neverVersion) = known->second.fresh;
+        const bool isSelected = Common::uniformBelow(state.scheduler.random, thousandths) < known->second.thousandths;
+        (isSelected ? limits.onlyVersion : limits.neverVersion) = known->second.fresh;
     }
 
 } // namespace
 
-tl::expected<Scheduling::placement, Scheduling::refusal> choose(gateway_state& state, const call& item, Common::instant now)
+tl::expected<Scheduling::placement, Scheduling::refusal> choosePlacement(gateway_state& state, const proxied_call& call, Common::instant now)
 {
     Scheduling::placement_limits limits;
-    limits.avoided = item.tried;
-    limitVersion(state, item, limits);
-    auto placed = Scheduling::place(state.scheduler, workOf(item), limits, now);
+    limits.avoided = call.triedEndpoints;
+    restrictVersions(state, call, limits);
+    auto placed = Scheduling::place(state.scheduler, workOf(call), limits, now);
     if (placed || !limits.onlyVersion)
         return placed;
-    // The fresh version can't take it: that is no reason to refuse.
+    // No endpoint of the new version can serve the request, so it falls back to the others instead of being rejected.
     limits.neverVersion = limits.onlyVersion;
     limits.onlyVersion.reset();
-    return Scheduling::place(state.scheduler, workOf(item), limits, now);
+    return Scheduling::place(state.scheduler, workOf(call), limits, now);
 }
 
-void noteDemand(gateway_state& state, const call& item)
+void recordDemand(gateway_state& state, const proxied_call& call)
 {
-    if (item.facts.model)
-        state.interval.demand.engineMs[item.service] += Scheduling::engineMs(state.scheduler, item.service, item.current->where.freshTokens, *item.facts.model);
+    if (call.facts.model)
+        state.interval.demand.engineMs[call.service] += Scheduling::engineMs(state.scheduler, call.service, call.currentAttempt->placement.freshTokens, *call.facts.model);
 }
 
 } // namespace Gateway
--- a/Source/Core/Gateway/Placing.h
+++ b/Source/Core/Gateway/Placing.h
@@ -1,22 +1,22 @@
 #pragma once
 
 /// @file
-/// The endpoint of a request's next attempt. Pure: no clock, no socket.
+/// Chooses the endpoint of a request's next attempt. Reads no clock and no socket.
 
 #include "Gateway/Call.h"
 #include "Gateway/GatewayState.h"
 
 namespace Gateway {
 
-/// @param state what the gateway knows; the placement is recorded in it.
-/// @param item a request that was taken.
-/// @param now the present time.
-/// @return where its next attempt goes, or why it can't be served.
-tl::expected<Scheduling::placement, Scheduling::refusal> choose(gateway_state& state, const call& item, Common::instant now);
+/// @param state the placement is recorded in its scheduler.
+/// @param call an admitted request.
+/// @param now current time.
+/// @return the endpoint of the next attempt, or why no endpoint can serve the request.
+tl::expected<Scheduling::placement, Scheduling::refusal> choosePlacement(gateway_state& state, const proxied_call& call, Common::instant now);
 
-/// Counts a placed request among the demand for its service.
-/// @param state its interval report is added to.
-/// @param item a request with an attempt under way.
-void noteDemand(gateway_state& state, const call& item);
+/// Adds the engine time that a model request needs to the reported demand for its service.
+/// @param state its interval report is updated.
+/// @param call a request with a current attempt.
+void recordDemand(gateway_state& state, const proxied_call& call);
 
 } // namespace Gateway
--- a/Source/Core/Gateway/SocketOptions.cpp
+++ b/Source/Core/Gateway/SocketOptions.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-    /// Unacknowledged bytes for so long mean that the other machine has no power or is cut off.
-    constexpr int unacknowledgedMilliseconds = 3000;
+    /// If sent data stays unacknowledged for this long, the peer is taken to be down or cut off.
+    constexpr int unacknowledgedTimeoutMilliseconds = 3000;
     constexpr int keepAliveIdleSeconds = 1;
     constexpr int keepAliveIntervalSeconds = 1;
     constexpr int keepAliveProbes = 3;
 
     void setOption(int socket, int level, int name, int value)
     {
-        // A socket without the option still works; a dead peer is then noticed by time limits alone.
+        // A failure is ignored: the socket still works, and a dead peer is then only detected by the request's timeouts.
         static_cast<void>(setsockopt(socket, level, name, &value, sizeof(value)));
     }
 
@@ -30,7 +30,7 @@
     setOption(handle, IPPROTO_TCP, TCP_KEEPIDLE, keepAliveIdleSeconds);
     setOption(handle, IPPROTO_TCP, TCP_KEEPINTVL, keepAliveIntervalSeconds);
     setOption(handle, IPPROTO_TCP, TCP_KEEPCNT, keepAliveProbes);
-    setOption(handle, IPPROTO_TCP, TCP_USER_TIMEOUT, unacknowledgedMilliseconds);
+    setOption(handle, IPPROTO_TCP, TCP_USER_TIMEOUT, unacknowledgedTimeoutMilliseconds);
 }
 
 } // namespace Gateway
--- a/Source/Core/Gateway/SocketOptions.h
+++ b/Source/Core/Gateway/SocketOptions.h
@@ -7,7 +7,7 @@
 
 namespace Gateway {
 
-/// No delay, and a bound on how long a peer that fell silent without a reset is believed to be there.
+/// Disables Nagle's algorithm and limits how long a peer that became unreachable without a reset goes undetected.
 void setSocketOptions(boost::asio::ip::tcp::socket& socket);
 
 } // namespace Gateway
--- a/Source/Core/Gateway/Tests/AdmissionTest.cpp
+++ b/Source/Core/Gateway/Tests/AdmissionTest.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which requests are taken, and what those are told that are not.
+/// Which requests are admitted, and the responses to rejected ones.
 
 #include "Gateway/Admission.h"
 
@@ -16,44 +16,44 @@
 
 Catalog::route makeRoute(const char* prefix, bool isPublic)
 {
-    Catalog::route item;
-    item.name = { prefix };
-    item.host = "h.example";
-    item.prefix = prefix;
-    item.shares = { { { "s" }, 1 } };
-    item.timeout = milliseconds(2000);
-    item.isPublic = isPublic;
-    return item;
+    Catalog::route route;
+    route.name = { prefix };
+    route.host = "h.example";
+    route.prefix = prefix;
+    route.shares = { { { "s" }, 1 } };
+    route.timeout = milliseconds(2000);
+    route.isPublic = isPublic;
+    return route;
 }
 
 gateway_state makeState()
 {
-    auto made = std::make_shared<Catalog::catalog>();
-    made->version = 1;
-    made->routes = { makeRoute("/own/", false), makeRoute("/open/", true) };
+    auto catalog = std::make_shared<Catalog::catalog>();
+    catalog->version = 1;
+    catalog->routes = { makeRoute("/own/", false), makeRoute("/open/", true) };
     Catalog::account account;
     account.id = { "clerks" };
     account.keys = { "k1" };
     account.allowed = { 100, 1000, true, 400 };
-    made->accounts.push_back(account);
-    Catalog::indexCatalog(*made);
+    catalog->accounts.push_back(account);
+    Catalog::indexCatalog(*catalog);
     Fleet::node_facts facts;
     facts.isFirstStart = true;
     facts.bounds.grace = milliseconds(8000);
     gateway_state state = makeGatewayState(facts, 1);
-    learn(state, catalog_known { made }, at(0));
-    learn(state, peers_known {}, at(0));
+    applyMessage(state, catalog_known { catalog }, at(0));
+    applyMessage(state, peers_known {}, at(0));
     return state;
 }
 
-call makeCall(const char* target, const char* key, int ms = 0)
+proxied_call makeCall(const char* target, const char* key, int ms = 0)
 {
-    call item;
-    item.arrived = at(ms);
-    item.request.target = target;
-    item.request.headers = { { "Host", "h.example" } };
-    item.facts.key = key;
-    return item;
+    proxied_call call;
+    call.arrived = at(ms);
+    call.request.target = target;
+    call.request.headers = { { "Host", "h.example" } };
+    call.facts.key = key;
+    return call;
 }
 
 Scheduling::model_facts makeModel(uint32_t promptTokens, uint32_t outputTokens)
@@ -68,12 +68,12 @@
 
 TEST_GROUP(Admission) {};
 
-TEST(Admission, ARequestNeedsACatalogARouteAndAKey)
+TEST(Admission, RequestsWithoutCatalogRouteOrKeyAreRejected)
 {
     struct row {
         const char* target;
         const char* key;
-        int status; ///< Zero: taken.
+        int status; ///< Zero: admitted.
     };
     const row rows[] = {
         { "/own/x?q=/open/", "k1", 0 },
@@ -85,17 +85,17 @@
     };
     for (const row& item : rows) {
         gateway_state state = makeState();
-        call asked = makeCall(item.target, item.key);
-        const auto refusal = admit(state, asked);
+        proxied_call call = makeCall(item.target, item.key);
+        const auto refusal = admit(state, call);
         CHECK_EQUAL_TEXT(item.status, refusal ? refusal->status : 0, item.target);
         state.catalog = nullptr;
-        const auto early = admit(state, asked);
-        CHECK_EQUAL(503, early->status);
-        CHECK(early->retryAfter.has_value());
+        const auto refusalWithoutCatalog = admit(state, call);
+        CHECK_EQUAL(503, refusalWithoutCatalog->status);
+        CHECK(refusalWithoutCatalog->retryAfter.has_value());
     }
 }
 
-TEST(Admission, TheDeadlineIsTheCallersOrTheRoutes)
+TEST(Admission, TheDeadlineIsTheEarlierOfCallerBudgetAndRouteTimeout)
 {
     struct row {
         std::optional<milliseconds> stated;
@@ -104,36 +104,36 @@
     const row rows[] = { { milliseconds(500), 510 }, { milliseconds(9000), 2010 }, { {}, 2010 } };
     for (const row& item : rows) {
         gateway_state state = makeState();
-        call asked = makeCall("/own/x", "k1", 10);
-        asked.facts.timeBudget = item.stated;
-        CHECK(!admit(state, asked));
-        CHECK(asked.deadline == at(item.deadlineMs));
+        proxied_call call = makeCall("/own/x", "k1", 10);
+        call.facts.timeBudget = item.stated;
+        CHECK(!admit(state, call));
+        CHECK(call.deadline == at(item.deadlineMs));
     }
 }
 
-TEST(Admission, TheAllowanceCountsTokens)
+TEST(Admission, RequestsBeyondTheTokenAllowanceAreRejected)
 {
-    // A burst of 1000 tokens: two requests without counts take 400 each, and a third finds too little.
+    // The burst is 1000 tokens. Requests without token counts are charged 400 each, so the third exceeds it.
     gateway_state state = makeState();
-    call first = makeCall("/own/x", "k1");
-    call second = makeCall("/own/x", "k1");
-    call third = makeCall("/own/x", "k1");
+    proxied_call first = makeCall("/own/x", "k1");
+    proxied_call second = makeCall("/own/x", "k1");
+    proxied_call third = makeCall("/own/x", "k1");
     CHECK(!admit(state, first));
     CHECK(!admit(state, second));
     const auto refusal = admit(state, third);
     CHECK_EQUAL(429, refusal->status);
     CHECK(refusal->retryAfter > milliseconds(0));
-    gateway_state fresh = makeState();
-    call counted = makeCall("/own/x", "k1");
+    gateway_state otherState = makeState();
+    proxied_call counted = makeCall("/own/x", "k1");
     counted.facts.model = makeModel(50, 20);
-    CHECK(!admit(fresh, counted));
-    DOUBLES_EQUAL(70, counted.granted, 0.1);
+    CHECK(!admit(otherState, counted));
+    DOUBLES_EQUAL(70, counted.allowanceTaken, 0.1);
 }
 
-TEST(Admission, ALeavingNodeTakesWhatItCanFinish)
+TEST(Admission, ALeavingNodeAdmitsOnlyRequestsItCanFinish)
 {
     struct row {
-        int arrivedMs; ///< After the begin of leaving.
+        int arrivedMs; ///< Time since the node began to leave.
         std::optional<Scheduling::model_facts> model;
         int status;
     };
@@ -147,10 +147,10 @@
     };
     for (const row& item : rows) {
         gateway_state state = makeState();
-        learn(state, leave_begun {}, at(0));
-        call asked = makeCall("/open/x", "", item.arrivedMs);
-        asked.facts.model = item.model;
-        const auto refusal = admit(state, asked);
+        applyMessage(state, leave_begun {}, at(0));
+        proxied_call call = makeCall("/open/x", "", item.arrivedMs);
+        call.facts.model = item.model;
+        const auto refusal = admit(state, call);
         CHECK_EQUAL(item.status, refusal ? refusal->status : 0);
     }
 }
--- a/Source/Core/Gateway/WireFormat.h
+++ b/Source/Core/Gateway/WireFormat.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// What the gateway needs to know of a request and of an answer that it passes on unread, and the functions that find
-/// it in header lines. The names of the lines belong to the adapter that supplies these functions.
+/// The facts that the gateway needs about a request and a response, and the functions that parse them from header lines.
+/// Bodies are forwarded without being interpreted. The adapter that supplies the functions defines the header names.
 
 #include "Common/Ids.h"
 #include "Http/Server.h"
@@ -16,42 +16,42 @@
 
 using std::chrono::milliseconds;
 
-/// What the gateway reads in a caller's request.
+/// Facts parsed from the headers of a caller's request.
 struct request_facts {
-    std::string attemptId; ///< The caller's id of this try; each try has its own.
-    std::string key; ///< Of a client account. A secret.
-    std::optional<milliseconds> timeBudget; ///< How long the caller will wait from now on.
+    std::string attemptId; ///< Chosen by the caller; a retry by the caller has a different id.
+    std::string key; ///< API key of a client account. Secret: must not be logged.
+    std::optional<milliseconds> timeBudget; ///< How long the caller waits, from the arrival of the request.
     std::optional<Scheduling::model_facts> model;
-    std::vector<Http::header> passedOn; ///< Lines that go to the endpoint as they are.
+    std::vector<Http::header> passedOn; ///< Header lines forwarded to the endpoint unchanged.
 };
 
-/// What the gateway tells an endpoint beside the caller's own lines.
+/// What the gateway adds to the caller's header lines in an attempt.
 struct attempt_facts {
     milliseconds timeBudget { 0 };
-    Common::endpoint_id endpoint; ///< The endpoint refuses a request meant for another.
+    Common::endpoint_id endpoint; ///< Checked by the endpoint, which rejects a request meant for another one.
     Common::account_id account; ///< Empty when the route needs no key.
     std::optional<uint32_t> urgency; ///< 0 is the most urgent, 9 the least.
-    std::string resumeAfter; ///< Id of the last event that the caller has; empty for a whole answer.
+    std::string resumeAfter; ///< Id of the last event that the caller has; empty if the stream starts at its beginning.
 };
 
-/// What the gateway reads in an endpoint's answer.
+/// Facts parsed from the headers of an endpoint's response.
 struct answer_facts {
-    std::string attemptId; ///< Whose answer it is.
-    bool isSealed { false }; ///< Bears an endpoint's proof of origin.
+    std::string attemptId; ///< Attempt id of the request that the response belongs to; may be empty.
+    bool isSealed { false }; ///< The response carries an endpoint's proof of origin.
     bool hasNotRun { false }; ///< The endpoint states that it did not run the request.
     std::optional<Scheduling::stated_load> load;
-    std::optional<milliseconds> keepAlive; ///< How long the endpoint keeps an idle connection.
+    std::optional<milliseconds> keepAlive; ///< How long the endpoint keeps an idle connection open.
     bool hasContentEncoding { false };
-    std::vector<Http::header> passedOn; ///< Lines that go to the caller as they are.
+    std::vector<Http::header> passedOn; ///< Header lines forwarded to the caller unchanged.
 };
 
-/// How requests and answers are written; supplied by the adapter to callers and endpoints.
+/// Parses and writes header lines; supplied by the adapter for callers and endpoints.
 struct wire_format {
     request_facts (*readRequest)(const std::vector<Http::header>& lines) { nullptr };
-    /// Lines of an attempt, the caller's own included.
+    /// @return all header lines of an attempt, including the forwarded ones.
     std::vector<Http::header> (*writeAttempt)(const request_facts& request, const attempt_facts& attempt) { nullptr };
     answer_facts (*readAnswer)(const std::vector<Http::header>& lines) { nullptr };
-    /// Lines of an answer of the gateway's own.
+    /// @return header lines of a response that the gateway itself generates.
     std::vector<Http::header> (*writeOwnAnswer)(const request_facts& request, std::optional<milliseconds> retryAfter) { nullptr };
 };
 
