--- a/Source/Core/Gateway/Admission.cpp
+++ b/Source/Core/Gateway/Admission.cpp
@@ -101,7 +101,7 @@
         return request_rejection { 503, "leaving", retryAfterLeaving };
     setDeadlineAndRetryLimits(call);
     call.service = Catalog::chooseService(*call.route, Common::uniformUnit(state.scheduler.random));
-    Limits::countRequest(state.repeats, call.service, call.arrived);
+    Limits::countRequest(state.serviceRetries, call.service, call.arrived);
     return chargeAllowance(state, call);
 }
 
--- a/Source/Core/Gateway/GatewayDuty.cpp
+++ b/Source/Core/Gateway/GatewayDuty.cpp
@@ -286,7 +286,7 @@
     {
         call.progress.hasTimeLeft = call.deadline - clockNow() > minAttemptTime;
         next_step step = decideNext(call.progress, outcome);
-        if (step != next_step::Retry || Limits::takeRepeat(state.repeats, call.service, clockNow()))
+        if (step != next_step::Retry || Limits::spendServiceRetry(state.serviceRetries, call.service, clockNow()))
             return step;
         Common::countMetric("filbertreel_repeats_refused_total");
         call.progress.hasTimeLeft = false;
--- a/Source/Core/Gateway/GatewayState.cpp
+++ b/Source/Core/Gateway/GatewayState.cpp
@@ -28,13 +28,13 @@
     made.scheduler.here = { facts.zone, facts.region, facts.regions };
     made.scheduler.random = Common::random_source(seed);
     made.quota.startsEmpty = !facts.isFirstStart;
-    made.repeats.rules = { facts.bounds.repeatRatio, facts.bounds.repeatSlack, facts.bounds.repeatWindow };
+    made.serviceRetries.rules = { facts.bounds.repeatRatio, facts.bounds.repeatSlack, facts.bounds.repeatWindow };
     return made;
 }
 
 milliseconds currentReportInterval(const gateway_state& state)
 {
-    return minReportInterval * std::max<int64_t>(1, static_cast<int64_t>(state.repeats.nodes / nodesPerIntervalMultiple));
+    return minReportInterval * std::max<int64_t>(1, static_cast<int64_t>(state.serviceRetries.nodes / nodesPerIntervalMultiple));
 }
 
 void applyMessage(gateway_state& state, const catalog_known& message, Common::instant now)
@@ -62,7 +62,7 @@
 void applyMessage(gateway_state& state, const peers_known& message, Common::instant now)
 {
     Quota::setPeers(state.quota, message.peers, now);
-    state.repeats.nodes = message.peers.size() + 1;
+    state.serviceRetries.nodes = message.peers.size() + 1;
     state.quota.silence = missedReports * currentReportInterval(state) + reportSlack;
 }
 
--- a/Source/Core/Gateway/GatewayState.h
+++ b/Source/Core/Gateway/GatewayState.h
@@ -20,7 +20,7 @@
     Catalog::catalog_pointer catalog; ///< Null until the first catalog is received.
     Scheduling::scheduler_state scheduler;
     Quota::ledger quota;
-    Limits::repeat_budgets repeats;
+    Limits::service_retry_budgets serviceRetries;
     std::map<Common::service_name, version_share_known> versionShares;
     interval_report interval; ///< Collected since the last report.
     std::optional<Common::instant> leavingSince;
--- a/Source/Core/Limits/Admission.cpp
+++ b/Source/Core/Limits/Admission.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-    constexpr int shortestRetrySeconds = 1;
-    constexpr int longestRetrySeconds = 60;
-    /// A request predicted to miss its target by more than this factor is refused.
+    constexpr int minRetrySeconds = 1;
+    constexpr int maxRetrySeconds = 60;
+    /// A request whose predicted time exceeds its target by more than this factor is rejected.
     constexpr double toleratedTargetFactor = 3.0;
-    /// Above this load an account is held to its share.
+    /// Accounts are limited to their fair share once this part of maxInFlight is in progress.
     constexpr double fairShareThreshold = 0.5;
 
-    uint32_t heldBy(const admission_state& state, const Common::account_id& account)
+    uint32_t inFlightOf(const admission_state& state, const Common::account_id& account)
     {
         const auto found = state.inFlightByAccount.find(account);
         return found == state.inFlightByAccount.end() ? 0 : found->second;
@@ -26,12 +26,13 @@
         return found == config.accounts.end() ? 1 : found->second.share;
     }
 
-    /// The account's part of the node's capacity among the accounts that hold requests now.
-    double fairPart(const admission_state& state, const Configuration::configuration& config, const Common::account_id& account)
+    /// @return how many requests the account may have in progress. maxInFlight is divided among the accounts that have
+    /// requests in progress, in proportion to their shares.
+    double fairCapacity(const admission_state& state, const Configuration::configuration& config, const Common::account_id& account)
     {
         double total = shareOf(config, account);
-        for (const auto& [other, held] : state.inFlightByAccount) {
-            if (held > 0 && other != account)
+        for (const auto& [other, inFlight] : state.inFlightByAccount) {
+            if (inFlight > 0 && other != account)
                 total += shareOf(config, other);
         }
         return state.settings.maxInFlight * (shareOf(config, account) / total);
@@ -39,7 +40,7 @@
 
     int retryAfter(double seconds)
     {
-        return std::clamp(static_cast<int>(std::ceil(seconds)), shortestRetrySeconds, longestRetrySeconds);
+        return std::clamp(static_cast<int>(std::ceil(seconds)), minRetrySeconds, maxRetrySeconds);
     }
 
 } // namespace
@@ -51,12 +52,12 @@
     using Common::failure_kind;
     using Common::run_state;
     if (!predicted.hasEndpoint)
-        return failure { failure_kind::NoEndpoint, work.name.value, run_state::NotRun, shortestRetrySeconds };
+        return failure { failure_kind::NoEndpoint, work.name.value, run_state::NotRun, minRetrySeconds };
     if (state.inFlight >= state.settings.maxInFlight)
-        return failure { failure_kind::Overloaded, "node", run_state::NotRun, shortestRetrySeconds };
+        return failure { failure_kind::Overloaded, "node", run_state::NotRun, minRetrySeconds };
     const bool isBusy = state.inFlight >= state.settings.maxInFlight * fairShareThreshold;
-    if (isBusy && heldBy(state, account) >= fairPart(state, config, account))
-        return failure { failure_kind::AccountLimit, account.value, run_state::NotRun, shortestRetrySeconds };
+    if (isBusy && inFlightOf(state, account) >= fairCapacity(state, config, account))
+        return failure { failure_kind::AccountLimit, account.value, run_state::NotRun, minRetrySeconds };
     const auto target = work.kind == Configuration::class_kind::Model ? work.firstTokenTarget : work.answerTarget;
     const double limit = std::chrono::duration<double>(target).count() * toleratedTargetFactor;
     if (state.settings.refusesLate && !predicted.meetsTarget && predicted.firstTokenSeconds > limit)
--- a/Source/Core/Limits/RepeatBudget.cpp
+++ b/Source/Core/Limits/RepeatBudget.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-    /// Part of the bound that is used, as windows of different nodes do not start together.
-    constexpr double usedPart = 0.8;
+    /// Share of the limit that a node uses. The windows of different nodes do not start at the same time, so the full limit
+    /// could be exceeded by all nodes together.
+    constexpr double usableShare = 0.8;
 
-    void dropOld(std::deque<Common::instant>& times, Common::instant oldest)
+    void dropOlderThan(std::deque<Common::instant>& times, Common::instant oldest)
     {
         while (!times.empty() && times.front() < oldest)
             times.pop_front();
@@ -17,23 +18,23 @@
 
 } // namespace
 
-void countRequest(repeat_budgets& budgets, const Common::service_name& service, Common::instant now)
+void countRequest(service_retry_budgets& budgets, const Common::service_name& service, Common::instant now)
 {
-    service_repeats& counts = budgets.services[service];
-    dropOld(counts.requests, now - budgets.rules.window);
+    service_traffic& counts = budgets.services[service];
+    dropOlderThan(counts.requests, now - budgets.rules.window);
     counts.requests.push_back(now);
 }
 
-bool takeRepeat(repeat_budgets& budgets, const Common::service_name& service, Common::instant now)
+bool spendServiceRetry(service_retry_budgets& budgets, const Common::service_name& service, Common::instant now)
 {
-    service_repeats& counts = budgets.services[service];
-    dropOld(counts.requests, now - budgets.rules.window);
-    dropOld(counts.repeats, now - budgets.rules.window);
+    service_traffic& counts = budgets.services[service];
+    dropOlderThan(counts.requests, now - budgets.rules.window);
+    dropOlderThan(counts.retries, now - budgets.rules.window);
     const double share = budgets.rules.ratio * static_cast<double>(counts.requests.size());
     const double slack = budgets.rules.slack / static_cast<double>(std::max<size_t>(1, budgets.nodes));
-    if (static_cast<double>(counts.repeats.size() + 1) > usedPart * (share + slack))
+    if (static_cast<double>(counts.retries.size() + 1) > usableShare * (share + slack))
         return false;
-    counts.repeats.push_back(now);
+    counts.retries.push_back(now);
     return true;
 }
 
--- a/Source/Core/Limits/RepeatBudget.h
+++ b/Source/Core/Limits/RepeatBudget.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Repeats of requests at a service, bounded over a sliding window as a share of its requests plus a slack that all
-/// nodes divide. Pure: no clock, no socket.
+/// Limits the retries at a service over a sliding window to a ratio of its requests plus a constant that is divided among
+/// all nodes. Reads no clock and no socket.
 
 #include "Common/Ids.h"
 
@@ -11,28 +11,30 @@
 
 namespace Limits {
 
-struct repeat_rules {
-    double ratio { 0.2 };
-    double slack { 0 }; ///< Of all nodes together.
+/// Limits that apply to every service.
+struct service_retry_rules {
+    double ratio { 0.2 }; ///< Retries per request.
+    double slack { 0 }; ///< Retries allowed in addition, for all nodes together.
     std::chrono::milliseconds window { 10000 };
 };
 
-/// Requests and repeats of one service at this node within the window, oldest first.
-struct service_repeats {
+/// Times of the requests and retries of one service at this node within the window, oldest first.
+struct service_traffic {
     std::deque<Common::instant> requests;
-    std::deque<Common::instant> repeats;
+    std::deque<Common::instant> retries;
 };
 
-struct repeat_budgets {
-    repeat_rules rules;
-    size_t nodes { 1 }; ///< Nodes that may be repeating at the same time.
-    std::map<Common::service_name, service_repeats> services;
+/// The retry budgets of all services at this node.
+struct service_retry_budgets {
+    service_retry_rules rules;
+    size_t nodes { 1 }; ///< Nodes that may be sending retries at the same time; 0 counts as 1.
+    std::map<Common::service_name, service_traffic> services;
 };
 
-/// Counts a caller's request for a service.
-void countRequest(repeat_budgets& budgets, const Common::service_name& service, Common::instant now);
+/// Counts a caller's request to a service; retries are not counted here.
+void countRequest(service_retry_budgets& budgets, const Common::service_name& service, Common::instant now);
 
-/// @return whether a request for the service may be sent once more; counts it when it may.
-bool takeRepeat(repeat_budgets& budgets, const Common::service_name& service, Common::instant now);
+/// @return whether a request to the service may be retried now; if so, the retry is counted.
+bool spendServiceRetry(service_retry_budgets& budgets, const Common::service_name& service, Common::instant now);
 
 } // namespace Limits
--- a/Source/Core/Limits/RetryBudget.cpp
+++ b/Source/Core/Limits/RetryBudget.cpp
@@ -8,7 +8,7 @@
 
     retry_budget& budgetOf(retry_budgets& budgets, const Common::account_id& account)
     {
-        return budgets.byAccount.try_emplace(account, retry_budget { minimumTokens }).first->second;
+        return budgets.byAccount.try_emplace(account, retry_budget { initialTokens }).first->second;
     }
 
 } // namespace
@@ -16,7 +16,7 @@
 void earnRetry(retry_budgets& budgets, const Common::account_id& account)
 {
     retry_budget& budget = budgetOf(budgets, account);
-    budget.tokens = std::min(budget.tokens + earnedPerRequest, maximumTokens);
+    budget.tokens = std::min(budget.tokens + tokensPerRequest, maximumTokens);
 }
 
 bool spendRetry(retry_budgets& budgets, const Common::account_id& account)
--- a/Source/Core/Limits/RetryBudget.h
+++ b/Source/Core/Limits/RetryBudget.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Retries as a bounded share of first attempts, so that failing endpoints don't multiply the load.
+/// Limits the retries of each account to a share of its first attempts, so that failing endpoints don't multiply the load.
 
 #include "Common/Ids.h"
 
@@ -9,7 +9,7 @@
 
 namespace Limits {
 
-/// Tokens that retries of one account spend.
+/// Token bucket of one account; a retry costs one token.
 struct retry_budget {
     double tokens { 0 };
 };
@@ -18,16 +18,16 @@
     std::map<Common::account_id, retry_budget> byAccount;
 };
 
-/// Each first attempt earns this share of a retry.
-constexpr double earnedPerRequest = 0.2;
-/// A quiet account may still retry this often.
-constexpr double minimumTokens = 3;
+/// Tokens added for each first attempt.
+constexpr double tokensPerRequest = 0.2;
+/// Initial tokens of an account, so that one with few requests can retry too.
+constexpr double initialTokens = 3;
 constexpr double maximumTokens = 100;
 
-/// Counts a first attempt.
+/// Adds the tokens for a first attempt.
 void earnRetry(retry_budgets& budgets, const Common::account_id& account);
 
-/// @return whether the account may retry now; spends one token when it may.
+/// @return whether the account may retry now; if so, one token is spent.
 bool spendRetry(retry_budgets& budgets, const Common::account_id& account);
 
 } // namespace Limits
--- a/Source/Core/Limits/Tests/AdmissionTest.cpp
+++ b/Source/Core/Limits/Tests/AdmissionTest.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Admission and retry budgets.
+/// Admission of requests, and retry budgets of accounts.
 
 #include "Limits/Admission.h"
 #include "Limits/RetryBudget.h"
@@ -25,7 +25,7 @@
 
 TEST_GROUP(Admission) {};
 
-TEST(Admission, RefusalsAreFinalAndSayWhenToComeBack)
+TEST(Admission, RejectedRequestsAreNotRunAndHaveARetryTime)
 {
     struct row {
         predicted_service predicted;
@@ -62,16 +62,16 @@
     admission_state state;
     state.settings.maxInFlight = 100;
     noteAdmitted(state, { "small" });
-    const predicted_service good { true, true, 0.1 };
+    const predicted_service prediction { true, true, 0.1 };
     int admitted = 0;
     for (int round = 0; round < 1000; ++round) {
-        if (refuse(state, config, { "large" }, {}, good))
+        if (refuse(state, config, { "large" }, {}, prediction))
             continue;
         noteAdmitted(state, { "large" });
         ++admitted;
     }
     LONGS_EQUAL(50, admitted);
-    CHECK(!refuse(state, config, { "small" }, {}, good));
+    CHECK(!refuse(state, config, { "small" }, {}, prediction));
 }
 
 TEST(Admission, RetriesAreABoundedShareOfFirstAttempts)
@@ -83,6 +83,6 @@
         retries += spendRetry(budgets, { "a" }) ? 1 : 0;
         retries += spendRetry(budgets, { "a" }) ? 1 : 0;
     }
-    CHECK(retries <= 1000 * earnedPerRequest + minimumTokens);
+    CHECK(retries <= 1000 * tokensPerRequest + initialTokens);
     CHECK(spendRetry(budgets, { "b" }));
 }
--- a/Source/Core/Limits/Tests/RepeatBudgetTest.cpp
+++ b/Source/Core/Limits/Tests/RepeatBudgetTest.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Repeats of a service over a sliding window and over all nodes.
+/// Limits on the retries of a service, over a sliding window and over all nodes.
 
 #include "Limits/RepeatBudget.h"
 
@@ -19,7 +19,7 @@
 
 TEST_GROUP(RepeatBudget) {};
 
-TEST(RepeatBudget, AllNodesTogetherStayWithinTheBound)
+TEST(RepeatBudget, RetriesOfAllNodesStayWithinTheLimit)
 {
     struct row {
         size_t nodes;
@@ -28,27 +28,27 @@
     };
     const row rows[] = { { 1, 100, 52 }, { 6, 20, 52 }, { 82, 5, 204 }, { 6, 0, 52 } };
     for (const row& item : rows) {
-        int repeats = 0;
+        int retries = 0;
         for (size_t node = 0; node < item.nodes; ++node) {
-            repeat_budgets budgets;
+            service_retry_budgets budgets;
             budgets.rules = { 0.2, item.slack, milliseconds(10000) };
             budgets.nodes = item.nodes;
             for (int request = 0; request < item.requestsPerNode; ++request)
                 countRequest(budgets, { "s" }, at(request));
-            while (takeRepeat(budgets, { "s" }, at(500)))
-                ++repeats;
+            while (spendServiceRetry(budgets, { "s" }, at(500)))
+                ++retries;
         }
         const double bound = 0.2 * item.requestsPerNode * static_cast<double>(item.nodes) + item.slack;
-        CHECK(repeats <= bound);
+        CHECK(retries <= bound);
     }
 }
 
-TEST(RepeatBudget, WhatLiesBehindTheWindowIsForgotten)
+TEST(RepeatBudget, RetriesOlderThanTheWindowAreNotCounted)
 {
-    repeat_budgets budgets;
+    service_retry_budgets budgets;
     budgets.rules = { 0, 5, milliseconds(10000) };
-    while (takeRepeat(budgets, { "s" }, at(0))) { }
-    CHECK(!takeRepeat(budgets, { "s" }, at(9999)));
-    CHECK(takeRepeat(budgets, { "s" }, at(10001)));
-    CHECK(takeRepeat(budgets, { "other" }, at(0)));
+    while (spendServiceRetry(budgets, { "s" }, at(0))) { }
+    CHECK(!spendServiceRetry(budgets, { "s" }, at(9999)));
+    CHECK(spendServiceRetry(budgets, { "s" }, at(10001)));
+    CHECK(spendServiceRetry(budgets, { "other" }, at(0)));
 }
