--- a/Source/Core/Gateway/CallFlow.cpp
+++ b/Source/Core/Gateway/CallFlow.cpp
@@ -40,8 +40,8 @@
     case attempt_end::Answered:
         return next_step::ForwardResponse;
     case attempt_end::Failed:
-        // If the response has begun, forwarding this failure would end it as if it were complete; afterFailure() aborts it
-        // instead.
+        // If the response has begun, forwarding this failure would end it as if it were complete, so afterFailure()
+        // aborts it instead.
         return afterFailure(progress, next_step::ForwardResponse);
     case attempt_end::Broken:
         return afterFailure(progress, next_step::FailUnknown);
--- a/Source/Core/Gateway/CallerSession.cpp
+++ b/Source/Core/Gateway/CallerSession.cpp
@@ -28,8 +28,8 @@
     constexpr size_t outboxLimitBytes = size_t { 4 } * 1024 * 1024;
     /// Long enough for a body of the maximum size over the slowest link of the deployments.
     constexpr std::chrono::milliseconds bodyTimeout { 20000 };
-    /// How long a close waits for the caller's close. Closing with unread bytes would reset the connection, and the caller
-    /// could lose the response.
+    /// How long a close waits for the caller's close. Closing with unread bytes would reset the connection, and the
+    /// caller could lose the response.
     constexpr std::chrono::milliseconds lingerTimeout { 1000 };
     /// Added to the idle timeout: a caller may reuse a connection just before the timeout, and that request must arrive.
     constexpr std::chrono::milliseconds idleSlack { 5000 };
@@ -197,7 +197,8 @@
         error_code peekError;
         self->m_socket.non_blocking(true, peekError);
         const size_t peeked = self->m_socket.receive(boost::asio::buffer(&byte, 1), tcp::socket::message_peek, peekError);
-        // The bytes belong to the next request and stay unread, so a close is now detected only when the response is written.
+        // The bytes belong to the next request and stay unread, so a close is from now on detected only when the
+        // response is written.
         if (!peekError && peeked > 0)
             return;
         if (peekError == boost::asio::error::would_block)
--- a/Source/Core/Gateway/CallerSession.h
+++ b/Source/Core/Gateway/CallerSession.h
@@ -42,7 +42,7 @@
     std::function<void(const caller_session_pointer&, arrived_request&&)> onRequest;
     /// The caller disconnected, or the session was aborted, before the response was complete.
     std::function<void(caller_session&)> onCallerDisconnected;
-    /// The connection is closed; the last callback of a session.
+    /// The connection is closed. If a response was pending, onCallerDisconnected follows.
     std::function<void(caller_session&)> onClosed;
     /// @return the current limits on requests.
     std::function<Catalog::input_limits()> limits;
--- a/Source/Core/Gateway/EndpointChannel.cpp
+++ b/Source/Core/Gateway/EndpointChannel.cpp
@@ -99,8 +99,8 @@
     boost::asio::async_write(m_socket, boost::asio::buffer(m_request), [self = shared_from_this(), exchange = m_exchanges](const error_code& error, size_t) {
         if (self->m_isClosed || exchange != self->m_exchanges)
             return;
-        // An endpoint may respond and stop reading before it has the whole body, so a failed write does not end the exchange;
-        // it only prevents the reuse of the connection.
+        // An endpoint may respond and stop reading before it has the whole body, so a failed write does not end the
+        // exchange; it only prevents the reuse of the connection.
         self->m_isWriteDone = !error;
     });
     readHead();
--- a/Source/Core/Gateway/GatewayDuty.cpp
+++ b/Source/Core/Gateway/GatewayDuty.cpp
@@ -36,8 +36,8 @@
     constexpr milliseconds minAttemptTime { 20 };
     /// Retry-After when none of the tried endpoints ran the request.
     constexpr milliseconds retryAfterNoEndpoint { 500 };
-    /// A leaving node still accepts short requests for this share of the grace period, because callers may use a directory
-    /// answer for up to three times its lifetime.
+    /// A leaving node still accepts short requests for this share of the grace period, because callers may use a
+    /// directory answer for up to three times its lifetime.
     constexpr double acceptingShareOfGrace = 0.75;
     constexpr uint32_t leastUrgentLevel = 9;
 
--- a/Source/Core/Gateway/GatewayDuty.h
+++ b/Source/Core/Gateway/GatewayDuty.h
@@ -2,7 +2,7 @@
 
 /// @file
 /// The gateway duty: the thread that accepts callers' requests, places them at endpoints and forwards the responses
-/// without interpreting their bodies.
+/// without interpreting their content.
 
 #include "Fleet/NodeFacts.h"
 #include "Gateway/Messages.h"
@@ -15,8 +15,8 @@
 
 /// Receivers of the duty's reports. They are called on its thread and must not block.
 struct gateway_outlets {
-    std::function<void(interval_report&&)> report;
-    std::function<void(attempt_seen&&)> attemptSeen;
+    std::function<void(interval_report&&)> report; ///< Called once per report interval.
+    std::function<void(attempt_seen&&)> attemptSeen; ///< Only for services with a rollout; may be empty.
 };
 
 struct gateway_settings {
--- a/Source/Core/Gateway/GatewayState.cpp
+++ b/Source/Core/Gateway/GatewayState.cpp
@@ -14,7 +14,8 @@
     constexpr milliseconds minReportInterval { 250 };
     /// Added to the time after which a peer counts as silent, as reports arrive with varying delay.
     constexpr milliseconds reportSlack { 150 };
-    /// With more nodes than this, the interval is a multiple of the minimum, so that the number of reports stays bounded.
+    /// The interval is the minimum multiplied by the number of nodes over this, so that the rate of reports per node stays
+    /// bounded.
     constexpr size_t nodesPerIntervalMultiple = 20;
     /// A peer counts as silent after this many consecutive missed reports.
     constexpr int missedReports = 3;
--- a/Source/Core/Gateway/Messages.h
+++ b/Source/Core/Gateway/Messages.h
@@ -39,8 +39,8 @@
 /// The share of a service's requests that goes to the version being rolled out.
 struct version_share_known {
     Common::service_name service;
-    Common::version_name fresh;
-    uint32_t thousandths { 0 };
+    Common::version_name fresh; ///< The version being rolled out.
+    uint32_t thousandths { 0 }; ///< Its share of the requests.
 };
 
 /// This node starts to leave the cluster and drains its requests.
@@ -52,10 +52,10 @@
 struct attempt_seen {
     enum class event {
         Begun,
-        Good,
+        Good, ///< A complete response within the latency target of the route.
         Failed,
-        Late,
-        Abandoned,
+        Late, ///< A complete response after the latency target.
+        Abandoned, ///< Not run, or the caller disconnected: says nothing about the version.
     };
 
     Common::service_name service;
--- a/Source/Core/Limits/RepeatBudget.cpp
+++ b/Source/Core/Limits/RepeatBudget.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-    /// Share of the limit that a node uses. The windows of different nodes do not start at the same time, so the full limit
-    /// could be exceeded by all nodes together.
+    /// Share of the limit that a node uses. The windows of different nodes do not start at the same time, so the nodes
+    /// together could exceed the full limit.
     constexpr double usableShare = 0.8;
 
     void dropOlderThan(std::deque<Common::instant>& times, Common::instant oldest)
--- a/Source/Core/Limits/RepeatBudget.h
+++ b/Source/Core/Limits/RepeatBudget.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Limits the retries at a service over a sliding window to a ratio of its requests plus a constant that is divided among
-/// all nodes. Reads no clock and no socket.
+/// Limits the retries at a service over a sliding window to a ratio of its requests plus a constant that is divided
+/// among all nodes. Reads no clock and no socket.
 
 #include "Common/Ids.h"
 
--- a/Source/Core/Limits/RetryBudget.h
+++ b/Source/Core/Limits/RetryBudget.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// Limits the retries of each account to a share of its first attempts, so that failing endpoints don't multiply the load.
+/// Limits the retries of each account to a share of its first attempts, so that failing endpoints don't multiply the
+/// load.
 
 #include "Common/Ids.h"
 
