--- a/Source/Filbertreeld/PlatformNode.cpp
+++ b/Source/Filbertreeld/PlatformNode.cpp
@@ -73,7 +73,7 @@
             made.listen.push_back(facts.listen.directory);
         made.listen.push_back(facts.ip + ":" + std::to_string(facts.lastPeerPort));
         made.addressLife = std::min(addressLife, facts.bounds.longestAddressLife);
-        made.format = PlatformAdapter::makeQuestionFormat();
+        made.format = PlatformAdapter::makeDirectoryFormat();
         return made;
     }
 
@@ -333,8 +333,8 @@
         auto facts = PlatformAdapter::parseSettingsFile(source.text);
         if (facts)
             return *facts;
-        for (const PlatformAdapter::settings_fault& fault : facts.error())
-            Common::logEvent(Common::log_level::Error, "settings_unreadable", { { "setting", fault.name }, { "problem", fault.problem } });
+        for (const PlatformAdapter::settings_error& error : facts.error())
+            Common::logEvent(Common::log_level::Error, "settings_unreadable", { { "setting", error.name }, { "problem", error.problem } });
         return {};
     }
 
