--- a/Source/Filbertreeld/Main.cpp
+++ b/Source/Filbertreeld/Main.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// The node daemon: starts one entry node and leaves in order on SIGTERM, SIGINT or the cloud's notice.
+/// The node daemon: runs one entry node and shuts it down gracefully on SIGTERM, SIGINT or the cloud's termination
+/// notice.
 
 #include "Filbertreeld/Node.h"
 #include "Filbertreeld/PlatformNode.h"
@@ -17,9 +18,9 @@
     sigemptyset(&signals);
     sigaddset(&signals, SIGTERM);
     sigaddset(&signals, SIGINT);
-    // Threads inherit the mask, so that only this thread takes the signals.
+    // Threads started later inherit the mask, so that only this thread receives the signals.
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
-    // A caller that closes its connection must not end the process.
+    // A write to a connection that the caller has closed must not end the process.
     std::signal(SIGPIPE, SIG_IGN);
     return signals;
 }
@@ -48,16 +49,16 @@
     while (!node.shouldLeave() && !waitForStopSignal(signals)) { }
     if (!node.hasFailed()) {
         std::atomic<bool> hasLeft { false };
-        std::thread leaving([&node, &hasLeft] {
+        std::thread leaveThread([&node, &hasLeft] {
             node.leave();
             hasLeft = true;
         });
-        // A second signal only hastens the handover: it cuts nothing.
+        // A second signal only makes the handover begin at once; it does not cut requests off.
         while (!hasLeft) {
             if (waitForStopSignal(signals))
-                node.hasten();
+                node.handOverNow();
         }
-        leaving.join();
+        leaveThread.join();
     }
     node.stop();
     Common::flushLogs();
--- a/Source/Filbertreeld/Node.cpp
+++ b/Source/Filbertreeld/Node.cpp
@@ -18,32 +18,34 @@
 namespace {
 
     constexpr std::chrono::milliseconds leavePollInterval { 50 };
-    constexpr std::chrono::milliseconds offerInterval { 2000 };
-    constexpr std::chrono::milliseconds flushPeriod { 300 };
-    /// Callers may have read the address answer just before it changed, and connect at the end of its time to live.
-    constexpr std::chrono::milliseconds addressSlack { 500 };
-    /// Work that is still in flight is handed over in the first part of the notice, so that it survives a node that
-    /// dies halfway through.
+    /// Interval at which a leaving node offers its unfinished model requests to peers again.
+    constexpr std::chrono::milliseconds handoverOfferInterval { 2000 };
+    constexpr std::chrono::milliseconds finalFlushDelay { 300 };
+    /// Added to the time to live of the address response: callers may have got it just before it changed, and connect at
+    /// the end of its time to live.
+    constexpr std::chrono::milliseconds addressTtlMargin { 500 };
+    /// Share of the notice after which the handover of unfinished requests begins: early, so that they survive a node
+    /// that dies halfway through its notice.
     constexpr double handoverShareOfNotice = 0.4;
 
     Entry::entry_settings makeEntrySettings(const node_settings& settings)
     {
-        Entry::entry_settings made;
+        Entry::entry_settings entrySettings;
         const size_t colon = settings.httpListen.rfind(':');
-        made.http.address = settings.httpListen.substr(0, colon);
-        made.http.port = static_cast<uint16_t>(Common::parseUnsigned(settings.httpListen.substr(colon + 1)).value_or(0));
-        made.http.maxBodyBytes = settings.maxBodyBytes;
-        made.http.maxHeaderCount = settings.maxHeaders;
-        made.http.maxConnections = settings.maxConnections;
-        made.http.readTimeout = settings.readTimeout;
-        made.http.writeTimeout = settings.writeTimeout;
-        made.node = settings.node;
-        made.zone = settings.zone;
-        made.region = settings.region;
-        made.advertisedAddress = settings.httpAdvertise;
-        made.operatorKey = settings.operatorKey;
-        made.addressTimeToLive = settings.addressTimeToLive;
-        return made;
+        entrySettings.http.address = settings.httpListen.substr(0, colon);
+        entrySettings.http.port = static_cast<uint16_t>(Common::parseUnsigned(settings.httpListen.substr(colon + 1)).value_or(0));
+        entrySettings.http.maxBodyBytes = settings.maxBodyBytes;
+        entrySettings.http.maxHeaderCount = settings.maxHeaders;
+        entrySettings.http.maxConnections = settings.maxConnections;
+        entrySettings.http.readTimeout = settings.readTimeout;
+        entrySettings.http.writeTimeout = settings.writeTimeout;
+        entrySettings.node = settings.node;
+        entrySettings.zone = settings.zone;
+        entrySettings.region = settings.region;
+        entrySettings.advertisedAddress = settings.httpAdvertise;
+        entrySettings.operatorKey = settings.operatorKey;
+        entrySettings.addressTimeToLive = settings.addressTimeToLive;
+        return entrySettings;
     }
 
     Dispatch::dispatch_state makeDispatchState(const node_settings& settings, Common::incarnation_number incarnation)
@@ -62,18 +64,18 @@
 
     Membership::peer_settings makePeerSettings(const node_settings& settings, Common::incarnation_number incarnation)
     {
-        Membership::peer_settings made;
-        made.self.id = settings.node;
-        made.self.peerAddress = settings.peerAdvertise;
-        made.self.httpAddress = settings.httpAdvertise;
-        made.self.zone = settings.zone;
-        made.self.region = settings.region;
-        made.self.incarnation = incarnation;
-        made.listenAddress = settings.peerListen;
-        made.seeds = settings.peers;
-        made.seed = Common::systemSeed();
-        made.membership.probeInterval = settings.probeInterval;
-        return made;
+        Membership::peer_settings peerSettings;
+        peerSettings.self.id = settings.node;
+        peerSettings.self.peerAddress = settings.peerAdvertise;
+        peerSettings.self.httpAddress = settings.httpAdvertise;
+        peerSettings.self.zone = settings.zone;
+        peerSettings.self.region = settings.region;
+        peerSettings.self.incarnation = incarnation;
+        peerSettings.listenAddress = settings.peerListen;
+        peerSettings.seeds = settings.peers;
+        peerSettings.seed = Common::systemSeed();
+        peerSettings.membership.probeInterval = settings.probeInterval;
+        return peerSettings;
     }
 
 } // namespace
@@ -90,29 +92,29 @@
     Membership::peer_duty peers;
     Entry::entry_duty entry;
     std::vector<std::thread> threads;
-    std::atomic<bool> isAnnounced { false };
-    std::atomic<bool> isHastened { false };
+    std::atomic<bool> isTerminationAnnounced { false };
+    std::atomic<bool> isHandoverRequested { false };
     std::atomic<bool> hasFailed { false };
 
-    explicit implementation(const node_settings& given)
-        : settings(given)
-        , platform({ given.tableUrl })
+    explicit implementation(const node_settings& nodeSettings)
+        : settings(nodeSettings)
+        , platform({ nodeSettings.tableUrl })
         , audit(makeAuditOutlets())
         , configuration(makeConfigurationOutlets())
-        , endpoints({ given.cloudUrl, { given.node, given.region }, given.listInterval, given.loadInterval }, makeEndpointsOutlets())
+        , endpoints({ nodeSettings.cloudUrl, { nodeSettings.node, nodeSettings.region }, nodeSettings.listInterval, nodeSettings.loadInterval }, makeEndpointsOutlets())
         , rollout(makeRolloutOutlets())
-        , dispatch(makeDispatchState(given, incarnation), makeDispatchOutlets())
-        , peers(makePeerSettings(given, incarnation), makePeerOutlets())
-        , entry(makeEntrySettings(given), makeEntryOutlets())
+        , dispatch(makeDispatchState(nodeSettings, incarnation), makeDispatchOutlets())
+        , peers(makePeerSettings(nodeSettings, incarnation), makePeerOutlets())
+        , entry(makeEntrySettings(nodeSettings), makeEntryOutlets())
     {
     }
 
-    auto tableCaller()
+    auto makeTableCaller()
     {
         return [this](Platform::table_call&& call) { platform.submit(std::move(call)); };
     }
 
-    auto operatorAnswerer()
+    auto makeOperatorResponder()
     {
         return [this](Common::caller_token token, int status, std::string body) {
             static_cast<void>(entry.submit(Entry::operator_answered { token, { status, std::move(body) } }));
@@ -121,13 +123,13 @@
 
     Audit::audit_outlets makeAuditOutlets()
     {
-        return { tableCaller(), operatorAnswerer() };
+        return { makeTableCaller(), makeOperatorResponder() };
     }
 
     Configuration::configuration_outlets makeConfigurationOutlets()
     {
         Configuration::configuration_outlets outlets;
-        outlets.callTable = tableCaller();
+        outlets.callTable = makeTableCaller();
         outlets.publish = [this](std::shared_ptr<const Configuration::configuration> state) {
             static_cast<void>(dispatch.submit(Dispatch::configuration_published { state }));
             static_cast<void>(rollout.submit(Rollout::configuration_seen { state }));
@@ -139,7 +141,7 @@
         };
         outlets.pullFromPeers = [this](Common::config_version after) { static_cast<void>(peers.submit(Membership::pull_changes { after })); };
         outlets.answerPeer = [this](const Configuration::answer_peer& reply) { static_cast<void>(peers.submit(Membership::give_changes { reply })); };
-        outlets.answerOperator = operatorAnswerer();
+        outlets.answerOperator = makeOperatorResponder();
         return outlets;
     }
 
@@ -156,28 +158,28 @@
         outlets.tellPeerLoads = [this](const Common::node_id& node, const std::vector<Endpoints::load_report>& reports) {
             static_cast<void>(peers.submit(Membership::give_loads { node, reports }));
         };
-        outlets.publishEntries = [this](const std::vector<Endpoints::instance_info>& entries) { takeEntries(entries); };
+        outlets.publishEntries = [this](const std::vector<Endpoints::instance_info>& entryNodes) { handleEntryNodes(entryNodes); };
         return outlets;
     }
 
     std::vector<Endpoints::poller> listPollers(const Membership::member_map& members) const
     {
         std::vector<Endpoints::poller> pollers { { settings.node, settings.region } };
-        for (const auto& [id, item] : members) {
-            if (item.status == Membership::member_status::Alive)
-                pollers.push_back({ id, item.region });
+        for (const auto& [id, member] : members) {
+            if (member.status == Membership::member_status::Alive)
+                pollers.push_back({ id, member.region });
         }
         return pollers;
     }
 
-    void takeEntries(const std::vector<Endpoints::instance_info>& entries)
+    void handleEntryNodes(const std::vector<Endpoints::instance_info>& entryNodes)
     {
         Membership::seeds_known seeds;
-        for (const Endpoints::instance_info& info : entries) {
-            if (info.id.value == settings.node.value && info.isLeaving)
-                isAnnounced = true;
-            else if (!info.peerAddress.empty() && !info.isLeaving)
-                seeds.peerAddresses.push_back(info.peerAddress);
+        for (const Endpoints::instance_info& instance : entryNodes) {
+            if (instance.id.value == settings.node.value && instance.isLeaving)
+                isTerminationAnnounced = true;
+            else if (!instance.peerAddress.empty() && !instance.isLeaving)
+                seeds.peerAddresses.push_back(instance.peerAddress);
         }
         static_cast<void>(peers.submit(std::move(seeds)));
     }
@@ -192,20 +194,20 @@
             actions = std::move(std::get<Entry::caller_actions>(message).actions);
             return false;
         };
-        outlets.callTable = tableCaller();
+        outlets.callTable = makeTableCaller();
         outlets.reportRefused = [this](const Common::endpoint_id& id) {
             static_cast<void>(endpoints.submit(Endpoints::leaving_notice { id, Endpoints::leaving_source::RefusedConnection }));
         };
         outlets.observe = [this](Rollout::attempt_observed&& observed) { static_cast<void>(rollout.submit(std::move(observed))); };
-        outlets.offerTransfer = [this](Dispatch::request_transfer&& item) { static_cast<void>(peers.submit(Membership::place_transfer { std::move(item) })); };
+        outlets.offerTransfer = [this](Dispatch::request_transfer&& transfer) { static_cast<void>(peers.submit(Membership::place_transfer { std::move(transfer) })); };
         outlets.acceptTransfer = [this](const Dispatch::accept_transfer& action) {
             static_cast<void>(peers.submit(Membership::confirm_transfer { action.peer, action.request }));
         };
         outlets.confirmHeld = [this](const Dispatch::confirm_held& action) {
             static_cast<void>(peers.submit(Membership::confirm_holder { action.peer, action.request }));
         };
-        outlets.note = [this](const Dispatch::note_event& action) {
-            static_cast<void>(audit.submit(Audit::event_noted { std::string(action.event), action.request, action.fields, { Common::wallClockMilliseconds() } }));
+        outlets.note = [this](const Dispatch::note_event& event) {
+            static_cast<void>(audit.submit(Audit::event_noted { std::string(event.event), event.request, event.fields, { Common::wallClockMilliseconds() } }));
         };
         return outlets;
     }
@@ -220,13 +222,14 @@
         return outlets;
     }
 
-    /// Any node may write the end of a rollout; the chain lets one of them win.
+    /// Proposes the end of a rollout as a configuration change. Any node may propose it; the version chain accepts only
+    /// one of the proposals.
     void proposeEnd(const Rollout::propose_end& action)
     {
-        constexpr Common::caller_token nobodyWaits { 0 };
+        constexpr Common::caller_token noOperatorToken { 0 };
         constexpr size_t tokenLength = 24;
         Configuration::proposal proposal;
-        proposal.operatorToken = nobodyWaits;
+        proposal.operatorToken = noOperatorToken;
         proposal.item.kind = Configuration::change_kind::Version;
         proposal.item.subject = Configuration::versionKey(action.version.service, action.version.name);
         proposal.item.body = toJson(action.version);
@@ -279,22 +282,22 @@
         });
     }
 
-    void waitUntil(Common::instant end, bool onlyWhileBusy)
+    void waitUntil(Common::instant deadline, bool onlyWhileBusy)
     {
-        while (std::chrono::steady_clock::now() < end && !isHastened) {
+        while (std::chrono::steady_clock::now() < deadline && !isHandoverRequested) {
             if (onlyWhileBusy && dispatch.unfinished() == 0)
                 return;
             std::this_thread::sleep_for(leavePollInterval);
         }
     }
 
-    void handOver(Common::instant end)
+    void handOver(Common::instant deadline)
     {
         Common::instant nextOffer = std::chrono::steady_clock::now();
-        while (dispatch.unfinished() > 0 && std::chrono::steady_clock::now() < end) {
+        while (dispatch.unfinished() > 0 && std::chrono::steady_clock::now() < deadline) {
             if (std::chrono::steady_clock::now() >= nextOffer) {
                 static_cast<void>(dispatch.submit(Dispatch::handover_begun {}));
-                nextOffer = std::chrono::steady_clock::now() + offerInterval;
+                nextOffer = std::chrono::steady_clock::now() + handoverOfferInterval;
             }
             std::this_thread::sleep_for(leavePollInterval);
         }
@@ -325,24 +328,24 @@
 void node::leave()
 {
     implementation& self = *m_implementation;
-    const Common::instant begun = std::chrono::steady_clock::now();
-    const Common::instant end = begun + self.settings.notice;
-    const auto share = std::chrono::duration_cast<std::chrono::milliseconds>(self.settings.notice * handoverShareOfNotice);
+    const Common::instant leaveStart = std::chrono::steady_clock::now();
+    const Common::instant deadline = leaveStart + self.settings.notice;
+    const auto timeUntilHandover = std::chrono::duration_cast<std::chrono::milliseconds>(self.settings.notice * handoverShareOfNotice);
     Common::logEvent(Common::log_level::Info, "node_leaving", { { "notice_ms", self.settings.notice.count() } });
     static_cast<void>(self.entry.submit(Entry::leaving_begun {}));
     static_cast<void>(self.peers.submit(Membership::leave_begun {}));
-    self.waitUntil(std::min(begun + self.settings.addressTimeToLive + addressSlack, begun + share), false);
+    self.waitUntil(std::min(leaveStart + self.settings.addressTimeToLive + addressTtlMargin, leaveStart + timeUntilHandover), false);
     static_cast<void>(self.dispatch.submit(Dispatch::drain_begun {}));
     std::this_thread::sleep_for(4 * leavePollInterval);
-    self.waitUntil(begun + share, true);
-    self.handOver(end);
-    std::this_thread::sleep_for(flushPeriod);
+    self.waitUntil(leaveStart + timeUntilHandover, true);
+    self.handOver(deadline);
+    std::this_thread::sleep_for(finalFlushDelay);
     Common::logEvent(Common::log_level::Info, "node_left", { { "unfinished", self.dispatch.unfinished() } });
 }
 
-void node::hasten()
+void node::handOverNow()
 {
-    m_implementation->isHastened = true;
+    m_implementation->isHandoverRequested = true;
 }
 
 void node::stop()
@@ -363,7 +366,7 @@
 
 bool node::shouldLeave() const
 {
-    return m_implementation->isAnnounced || m_implementation->hasFailed;
+    return m_implementation->isTerminationAnnounced || m_implementation->hasFailed;
 }
 
 bool node::hasFailed() const
--- a/Source/Filbertreeld/Node.h
+++ b/Source/Filbertreeld/Node.h
@@ -16,18 +16,18 @@
     node(const node&) = delete;
     node& operator=(const node&) = delete;
 
-    /// Starts all duties.
+    /// Starts a thread for each duty.
     void start();
-    /// Leaves in order: out of the address answer, then no new work, then what is left goes to peers.
-    /// @return when nothing is in flight any more, or when the notice ends.
+    /// Shuts down gracefully: removes this node from the address response, stops taking new requests, then hands
+    /// unfinished requests over to peers. Blocks until no request is in flight or the notice ends.
     void leave();
-    /// Asks leave() to hand over at once; may be called from any thread.
-    void hasten();
-    /// Ends all duties.
+    /// Makes leave() hand unfinished requests over without waiting further; may be called from any thread.
+    void handOverNow();
+    /// Stops all duties and joins their threads.
     void stop();
-    /// @return whether the cloud has announced this instance's end, or a duty has failed.
+    /// @return whether the cloud has announced the termination of this instance, or a duty has failed.
     bool shouldLeave() const;
-    /// @return whether a duty could not start.
+    /// @return whether a duty ended with an exception, such as an address that can't be bound.
     bool hasFailed() const;
 
 private:
--- a/Source/Filbertreeld/PlatformNode.cpp
+++ b/Source/Filbertreeld/PlatformNode.cpp
@@ -26,18 +26,19 @@
     using std::chrono::milliseconds;
 
     constexpr milliseconds leavePollInterval { 50 };
-    /// How long callers may keep an address: short, so that a node that leaves loses them soon.
-    constexpr milliseconds addressLife { 1000 };
-    /// A node that its peers have found dead for so long has not just been restarted.
-    constexpr milliseconds deadBeforeRemoval { 8000 };
-    /// Nodes that start together hear of each other within about a second.
-    constexpr milliseconds believedUnheard { 3000 };
-    /// Part of the grace after which a leaving node ends, whatever is still in progress.
-    constexpr double mostOfGrace = 0.93;
-    /// Part of the grace during which callers may still hold this node's address.
-    constexpr double callersComeShareOfGrace = 0.75;
-
-    Fleet::node_entry makeEntry(const Fleet::node_facts& facts, Common::incarnation_number incarnation)
+    /// Time to live of address responses: short, so that callers soon stop connecting to a node that leaves.
+    constexpr milliseconds addressTimeToLive { 1000 };
+    /// A node that its peers consider dead is removed after this time; a node that only restarts is back sooner.
+    constexpr milliseconds deadNodeRemovalDelay { 8000 };
+    /// How long a node that the store lists counts as reachable while the peers do not know it: nodes that start
+    /// together discover each other within about a second.
+    constexpr milliseconds newNodeGracePeriod { 3000 };
+    /// Share of the grace period after which a leaving node stops even if requests are still in progress.
+    constexpr double maxLeaveShareOfGrace = 0.93;
+    /// Share of the grace period for which a leaving node serves in any case, as callers may still use its address.
+    constexpr double minLeaveShareOfGrace = 0.75;
+
+    Fleet::node_entry makeNodeEntry(const Fleet::node_facts& facts, Common::incarnation_number incarnation)
     {
         Fleet::node_entry entry;
         entry.node = facts.node;
@@ -52,29 +53,29 @@
 
     Membership::peer_settings makePeerSettings(const Fleet::node_facts& facts, Common::incarnation_number incarnation)
     {
-        const Fleet::node_entry entry = makeEntry(facts, incarnation);
-        Membership::peer_settings made;
-        made.self.id = entry.node;
-        made.self.peerAddress = entry.peerAddress;
-        made.self.httpAddress = entry.callersAddress;
-        made.self.zone = entry.zone;
-        made.self.region = entry.region;
-        made.self.incarnation = incarnation;
-        made.listenAddress = entry.peerAddress;
-        made.seed = Common::systemSeed();
-        return made;
+        const Fleet::node_entry entry = makeNodeEntry(facts, incarnation);
+        Membership::peer_settings settings;
+        settings.self.id = entry.node;
+        settings.self.peerAddress = entry.peerAddress;
+        settings.self.httpAddress = entry.callersAddress;
+        settings.self.zone = entry.zone;
+        settings.self.region = entry.region;
+        settings.self.incarnation = incarnation;
+        settings.listenAddress = entry.peerAddress;
+        settings.seed = Common::systemSeed();
+        return settings;
     }
 
     Directory::directory_settings makeDirectorySettings(const Fleet::node_facts& facts)
     {
-        Directory::directory_settings made;
-        made.listen = { facts.listen.readiness };
+        Directory::directory_settings settings;
+        settings.listen = { facts.listen.readiness };
         if (!facts.listen.directory.empty() && facts.listen.directory != facts.listen.readiness)
-            made.listen.push_back(facts.listen.directory);
-        made.listen.push_back(facts.ip + ":" + std::to_string(facts.lastPeerPort));
-        made.addressLife = std::min(addressLife, facts.bounds.longestAddressLife);
-        made.format = PlatformAdapter::makeDirectoryFormat();
-        return made;
+            settings.listen.push_back(facts.listen.directory);
+        settings.listen.push_back(facts.ip + ":" + std::to_string(facts.lastPeerPort));
+        settings.addressLife = std::min(addressTimeToLive, facts.bounds.longestAddressLife);
+        settings.format = PlatformAdapter::makeDirectoryFormat();
+        return settings;
     }
 
 } // namespace
@@ -88,19 +89,19 @@
     Membership::peer_duty peers;
     std::vector<std::thread> threads;
     std::mutex nodesMutex;
-    Fleet::node_map nodes; ///< As the store lists them.
-    Membership::member_map members; ///< As the peers see them.
+    Fleet::node_map nodes; ///< As listed in the store. Guarded by nodesMutex.
+    Membership::member_map members; ///< As seen by the peers. Guarded by nodesMutex.
     std::map<Common::node_id, Common::instant> deadSince;
-    std::map<Common::node_id, Common::instant> unheardSince; ///< Listed in the store, but unknown to the peers.
+    std::map<Common::node_id, Common::instant> unknownToPeersSince; ///< Listed in the store, unknown to the peers.
     std::atomic<bool> isLeaving { false };
     std::atomic<bool> hasFailed { false };
 
-    explicit implementation(const Fleet::node_facts& given)
-        : facts(given)
-        , directory(makeDirectorySettings(given))
-        , gateway({ given, incarnation, PlatformAdapter::makeWireFormat(), Common::systemSeed() }, makeGatewayOutlets())
-        , control({ given, makeEntry(given, incarnation), PlatformAdapter::makePlatformCalls(), Common::systemSeed() }, makeControlOutlets())
-        , peers(makePeerSettings(given, incarnation), makePeerOutlets())
+    explicit implementation(const Fleet::node_facts& nodeFacts)
+        : facts(nodeFacts)
+        , directory(makeDirectorySettings(nodeFacts))
+        , gateway({ nodeFacts, incarnation, PlatformAdapter::makeWireFormat(), Common::systemSeed() }, makeGatewayOutlets())
+        , control({ nodeFacts, makeNodeEntry(nodeFacts, incarnation), PlatformAdapter::makePlatformCalls(), Common::systemSeed() }, makeControlOutlets())
+        , peers(makePeerSettings(nodeFacts, incarnation), makePeerOutlets())
     {
     }
 
@@ -124,7 +125,7 @@
             static_cast<void>(gateway.submit(std::move(message)));
         };
         outlets.publishNodes = [this](const Fleet::node_map& nodes) { publishNodes(nodes); };
-        outlets.tellPeersLeaving = [this](const Fleet::endpoint& item) { static_cast<void>(peers.submit(Membership::push_leaving { item.id, item.started.value })); };
+        outlets.tellPeersLeaving = [this](const Fleet::endpoint& endpoint) { static_cast<void>(peers.submit(Membership::push_leaving { endpoint.id, endpoint.started.value })); };
         outlets.tellPeersCatalog = [this](uint64_t version) { static_cast<void>(peers.submit(Membership::configuration_moved { { version } })); };
         outlets.askPeersCatalog = [this](uint64_t after) { static_cast<void>(peers.submit(Membership::pull_catalog { after })); };
         outlets.givePeerCatalog = [this](const Common::node_id& peer, uint64_t version, std::string text) {
@@ -138,7 +139,7 @@
     Membership::peer_outlets makePeerOutlets()
     {
         Membership::peer_outlets outlets;
-        outlets.publishMembers = [this](const Membership::member_map& known) { publishMembers(known); };
+        outlets.publishMembers = [this](const Membership::member_map& currentMembers) { publishMembers(currentMembers); };
         outlets.tellConfiguration = [this](Configuration::chain_message&& message) {
             const auto* ahead = std::get_if<Configuration::peer_is_ahead>(&message);
             if (ahead)
@@ -150,7 +151,7 @@
             if (auto* latch = std::get_if<Rollout::peer_latch>(&message))
                 static_cast<void>(control.submit(std::move(*latch)));
         };
-        // Load of endpoints and requests in flight are not passed between nodes here.
+        // On this platform nodes exchange neither endpoint loads nor requests in flight.
         outlets.tellEndpoints = [](Endpoints::table_message&&) {};
         outlets.tellDispatch = [](Dispatch::dispatch_message&&) {};
         outlets.located = [](const Common::request_id&, const std::string&) {};
@@ -162,75 +163,77 @@
         return outlets;
     }
 
-    /// Called by the control duty.
-    void publishNodes(const Fleet::node_map& listed)
+    /// Called on the control duty's thread.
+    void publishNodes(const Fleet::node_map& listedNodes)
     {
         Membership::seeds_known seeds;
-        Gateway::peers_known known;
-        for (const auto& [id, item] : listed) {
+        Gateway::peers_known knownPeers;
+        for (const auto& [id, entry] : listedNodes) {
             if (id == facts.node)
                 continue;
-            known.peers.insert(id);
-            seeds.peerAddresses.push_back(item.peerAddress);
+            knownPeers.peers.insert(id);
+            seeds.peerAddresses.push_back(entry.peerAddress);
         }
-        static_cast<void>(gateway.submit(std::move(known)));
+        static_cast<void>(gateway.submit(std::move(knownPeers)));
         static_cast<void>(peers.submit(std::move(seeds)));
         const std::lock_guard guard(nodesMutex);
-        nodes = listed;
+        nodes = listedNodes;
         publishDirectory();
     }
 
-    /// Called by the peer duty.
-    void publishMembers(const Membership::member_map& known)
+    /// Called on the peer duty's thread.
+    void publishMembers(const Membership::member_map& currentMembers)
     {
         const std::lock_guard guard(nodesMutex);
-        members = known;
+        members = currentMembers;
         publishDirectory();
     }
 
-    /// A node that is listed but has not been heard of by the peers is believed in for a moment only.
+    /// A listed node that the peers do not know counts as reachable for newNodeGracePeriod only. The caller must hold
+    /// nodesMutex.
     bool isReachable(const Common::node_id& id)
     {
         const Common::instant now = std::chrono::steady_clock::now();
         const auto member = members.find(id);
         if (member != members.end()) {
-            unheardSince.erase(id);
+            unknownToPeersSince.erase(id);
             return member->second.status == Membership::member_status::Alive;
         }
-        const Common::instant since = unheardSince.try_emplace(id, now).first->second;
-        return now - since < believedUnheard;
+        const Common::instant since = unknownToPeersSince.try_emplace(id, now).first->second;
+        return now - since < newNodeGracePeriod;
     }
 
-    /// What the store lists, less what the peers do not reach. The caller holds the mutex.
+    /// Publishes the nodes that the store lists, each marked as reachable or not. The caller must hold nodesMutex.
     void publishDirectory()
     {
         Fleet::node_map reachable = nodes;
-        for (auto& [id, item] : reachable) {
-            item.isReachable = id == facts.node || isReachable(id);
-            item.isLeaving = item.isLeaving || (id == facts.node && isLeaving);
+        for (auto& [id, entry] : reachable) {
+            entry.isReachable = id == facts.node || isReachable(id);
+            entry.isLeaving = entry.isLeaving || (id == facts.node && isLeaving);
         }
         directory.setNodes(reachable);
     }
 
-    /// The caller holds the mutex.
-    void tellDeadNodes()
+    /// Reports nodes that have been dead, or unknown to the peers, for deadNodeRemovalDelay. The caller must hold
+    /// nodesMutex.
+    void reportDeadNodes()
     {
         const Common::instant now = std::chrono::steady_clock::now();
-        Control::dead_nodes_known dead;
-        for (const auto& [id, item] : members) {
-            if (item.status != Membership::member_status::Dead) {
+        Control::dead_nodes_known deadNodes;
+        for (const auto& [id, member] : members) {
+            if (member.status != Membership::member_status::Dead) {
                 deadSince.erase(id);
                 continue;
             }
             const Common::instant since = deadSince.try_emplace(id, now).first->second;
-            if (now - since >= deadBeforeRemoval)
-                dead.nodes.insert(id);
+            if (now - since >= deadNodeRemovalDelay)
+                deadNodes.nodes.insert(id);
         }
-        for (const auto& [id, since] : unheardSince) {
-            if (nodes.contains(id) && now - since >= deadBeforeRemoval)
-                dead.nodes.insert(id);
+        for (const auto& [id, since] : unknownToPeersSince) {
+            if (nodes.contains(id) && now - since >= deadNodeRemovalDelay)
+                deadNodes.nodes.insert(id);
         }
-        static_cast<void>(control.submit(std::move(dead)));
+        static_cast<void>(control.submit(std::move(deadNodes)));
     }
 
     template <typename duty_type>
@@ -273,13 +276,13 @@
 {
     const std::lock_guard guard(m_implementation->nodesMutex);
     m_implementation->publishDirectory();
-    m_implementation->tellDeadNodes();
+    m_implementation->reportDeadNodes();
 }
 
 void platform_node::leave()
 {
     implementation& self = *m_implementation;
-    const Common::instant begun = std::chrono::steady_clock::now();
+    const Common::instant leaveStart = std::chrono::steady_clock::now();
     const milliseconds grace = self.facts.bounds.grace;
     Common::logEvent(Common::log_level::Info, "node_leaving", { { "grace_ms", grace.count() } });
     self.isLeaving = true;
@@ -287,10 +290,10 @@
     static_cast<void>(self.control.submit(Control::leave_begun {}));
     static_cast<void>(self.gateway.submit(Gateway::leave_begun {}));
     static_cast<void>(self.peers.submit(Membership::leave_begun {}));
-    const auto elapsedShare = [&] { return (std::chrono::steady_clock::now() - begun) / std::chrono::duration<double>(grace); };
-    while (elapsedShare() < callersComeShareOfGrace)
+    const auto elapsedShare = [&] { return (std::chrono::steady_clock::now() - leaveStart) / std::chrono::duration<double>(grace); };
+    while (elapsedShare() < minLeaveShareOfGrace)
         std::this_thread::sleep_for(leavePollInterval);
-    while (elapsedShare() < mostOfGrace && self.gateway.inFlight() > 0)
+    while (elapsedShare() < maxLeaveShareOfGrace && self.gateway.inFlight() > 0)
         std::this_thread::sleep_for(leavePollInterval);
     static_cast<void>(self.control.submit(Control::leave_ended {}));
     std::this_thread::sleep_for(2 * leavePollInterval);
@@ -316,21 +319,21 @@
 
 namespace {
 
-    struct settings_source {
+    struct settings_file {
         std::string path;
         std::string text;
     };
 
-    /// @return the facts, or nothing after the faults were logged.
-    std::optional<Fleet::node_facts> readFacts(settings_source& source)
+    /// @return the facts; std::nullopt when the file can't be read or is invalid, which is logged.
+    std::optional<Fleet::node_facts> loadNodeFacts(settings_file& file)
     {
-        auto text = PlatformAdapter::readSettingsFile(source.path);
+        auto text = PlatformAdapter::readSettingsFile(file.path);
         if (!text) {
             Common::logEvent(Common::log_level::Error, "settings_unreadable", { { "setting", text.error().name }, { "problem", text.error().problem } });
             return {};
         }
-        source.text = *text;
-        auto facts = PlatformAdapter::parseSettingsFile(source.text);
+        file.text = *text;
+        auto facts = PlatformAdapter::parseSettingsFile(file.text);
         if (facts)
             return *facts;
         for (const PlatformAdapter::settings_error& error : facts.error())
@@ -345,40 +348,41 @@
         sigaddset(&signals, SIGTERM);
         sigaddset(&signals, SIGINT);
         sigaddset(&signals, SIGHUP);
-        // Threads inherit the mask, so that only this thread takes the signals.
+        // Threads started later inherit the mask, so that only this thread receives the signals.
         pthread_sigmask(SIG_BLOCK, &signals, nullptr);
-        // A caller that closes its connection must not end the process.
+        // A write to a connection that the caller has closed must not end the process.
         std::signal(SIGPIPE, SIG_IGN);
         return signals;
     }
 
-    /// A file that is being replaced while the process starts is readable a moment later.
-    std::optional<Fleet::node_facts> awaitFacts(settings_source& source, const sigset_t& signals)
+    /// Reads the file again while it can't be read or is invalid: it may be in the middle of being replaced.
+    /// @return the facts; std::nullopt after a stop signal or the last try.
+    std::optional<Fleet::node_facts> waitForNodeFacts(settings_file& file, const sigset_t& signals)
     {
-        constexpr timespec pause { 0, 200'000'000 };
-        constexpr int mostTries = 50;
-        auto facts = readFacts(source);
-        for (int tries = 0; !facts && tries < mostTries; ++tries) {
-            const int signal = sigtimedwait(&signals, nullptr, &pause);
+        constexpr timespec retryInterval { 0, 200'000'000 };
+        constexpr int maxTries = 50;
+        auto facts = loadNodeFacts(file);
+        for (int tries = 0; !facts && tries < maxTries; ++tries) {
+            const int signal = sigtimedwait(&signals, nullptr, &retryInterval);
             if (signal == SIGTERM || signal == SIGINT)
                 return {};
-            const auto text = PlatformAdapter::readSettingsFile(source.path);
-            if (text && *text != source.text)
-                facts = readFacts(source);
+            const auto text = PlatformAdapter::readSettingsFile(file.path);
+            if (text && *text != file.text)
+                facts = loadNodeFacts(file);
         }
         return facts;
     }
 
-    void reloadWhenChanged(settings_source& source, platform_node& node)
+    void reloadWhenChanged(settings_file& file, platform_node& node)
     {
-        const auto text = PlatformAdapter::readSettingsFile(source.path);
-        // A file that is being replaced is looked at again in a moment.
-        if (!text || *text == source.text)
+        const auto text = PlatformAdapter::readSettingsFile(file.path);
+        // A file that can't be read may be in the middle of being replaced; the next check reads it again.
+        if (!text || *text == file.text)
             return;
-        const auto facts = readFacts(source);
+        const auto facts = loadNodeFacts(file);
         if (!facts)
             return;
-        Common::logEvent(Common::log_level::Info, "settings_reloaded", { { "bytes", source.text.size() } });
+        Common::logEvent(Common::log_level::Info, "settings_reloaded", { { "bytes", file.text.size() } });
         node.reload(*facts);
     }
 
@@ -388,9 +392,9 @@
 {
     const sigset_t signals = blockSignals();
     const char* path = std::getenv(PlatformAdapter::settingsPathVariable);
-    settings_source source { path ? path : "", {} };
+    settings_file file { path ? path : "", {} };
     Common::startLogging("starting", Common::log_level::Info);
-    const auto facts = awaitFacts(source, signals);
+    const auto facts = waitForNodeFacts(file, signals);
     if (!facts) {
         Common::flushLogs();
         return exitBadSettings;
@@ -398,12 +402,12 @@
     Common::startLogging(facts->node.value, Common::log_level::Info);
     platform_node node(*facts);
     node.start();
-    constexpr time_t settingsLookSeconds = 1;
+    constexpr time_t settingsCheckSeconds = 1;
     int signal = 0;
     while (signal != SIGTERM && signal != SIGINT && !node.hasFailed()) {
-        const timespec interval { settingsLookSeconds, 0 };
+        const timespec interval { settingsCheckSeconds, 0 };
         signal = sigtimedwait(&signals, nullptr, &interval);
-        reloadWhenChanged(source, node);
+        reloadWhenChanged(file, node);
         node.checkPeers();
     }
     if (!node.hasFailed())
--- a/Source/Filbertreeld/PlatformNode.h
+++ b/Source/Filbertreeld/PlatformNode.h
@@ -16,18 +16,19 @@
     platform_node(const platform_node&) = delete;
     platform_node& operator=(const platform_node&) = delete;
 
-    /// Starts all duties.
+    /// Starts a thread for each duty.
     void start();
-    /// Takes settings that were read again.
+    /// Applies settings that have changed since the start.
     void reload(const Fleet::node_facts& facts);
-    /// Tells which peers have long been dead; to be called about once a second.
+    /// Updates the directory and reports nodes that have been dead for long enough to be removed. Must be called about
+    /// once a second.
     void checkPeers();
-    /// Leaves in order: out of the directory, then no new work, then out.
-    /// @return when nothing is in progress any more, or when the grace ends.
+    /// Shuts down gracefully: removes this node from the directory, keeps serving callers that may still use its
+    /// address, then lets requests in progress finish. Blocks until none is left or the grace period is nearly over.
     void leave();
-    /// Ends all duties.
+    /// Stops all duties and joins their threads.
     void stop();
-    /// @return whether a duty could not go on.
+    /// @return whether a duty ended with an exception.
     bool hasFailed() const;
 
 private:
@@ -35,7 +36,7 @@
     std::unique_ptr<implementation> m_implementation;
 };
 
-/// Runs a node with the settings file that the environment names until a stop signal.
+/// Runs a node until a stop signal, with the settings file that the environment variable names.
 /// @return the process's exit code.
 int runPlatformNode();
 
