--- a/Source/Filbertreeld/PlatformNode.cpp
+++ b/Source/Filbertreeld/PlatformNode.cpp
@@ -355,7 +355,8 @@
         return signals;
     }
 
-    /// Reads the file again while it can't be read or is invalid: it may be in the middle of being replaced.
+    /// Reads the file, and again when its content has changed while it can't be read or is invalid: it may be in the
+    /// middle of being replaced.
     /// @return the facts; std::nullopt after a stop signal or the last try.
     std::optional<Fleet::node_facts> waitForNodeFacts(settings_file& file, const sigset_t& signals)
     {
