--- a/Source/Core/Configuration/Change.cpp
+++ b/Source/Core/Configuration/Change.cpp
@@ -10,9 +10,11 @@
 
     constexpr std::array changeKinds { change_kind::Class, change_kind::Account, change_kind::Version };
 
-    std::vector<mistake> checkBody(change& item)
+    /// Validates the body, completes it with default values and sets the subject.
+    /// @return every invalid member.
+    std::vector<mistake> normalizeBody(change& item)
     {
-        const auto record = [&item](auto&& parsedBody, auto&& subjectOf) -> std::vector<mistake> {
+        const auto storeParsed = [&item](auto&& parsedBody, auto&& subjectOf) -> std::vector<mistake> {
             if (!parsedBody)
                 return parsedBody.error();
             item.subject = subjectOf(*parsedBody);
@@ -21,11 +23,11 @@
         };
         switch (item.kind) {
         case change_kind::Class:
-            return record(parseClass(item.body), [](const class_of_work& body) { return body.name.value; });
+            return storeParsed(parseClass(item.body), [](const class_of_work& body) { return body.name.value; });
         case change_kind::Account:
-            return record(parseAccount(item.body), [](const client_account& body) { return body.id.value; });
+            return storeParsed(parseAccount(item.body), [](const client_account& body) { return body.id.value; });
         case change_kind::Version:
-            return record(parseVersion(item.body), [](const endpoint_version& body) { return versionKey(body.service, body.name); });
+            return storeParsed(parseVersion(item.body), [](const endpoint_version& body) { return versionKey(body.service, body.name); });
         }
         return {};
     }
@@ -45,7 +47,7 @@
         }
     }
 
-    /// A version that becomes current ends the one before it.
+    /// Removes the service's previous current version when another one becomes current.
     void retireCurrentVersion(configuration& state, const endpoint_version& successor)
     {
         if (successor.state != version_state::Current)
@@ -102,7 +104,7 @@
     item.isRemoval = proposal.contains("remove") && proposal["remove"] == json(true);
     item.cause = proposal.contains("cause") && proposal["cause"].is_string() ? proposal["cause"].get<std::string>() : "";
     item.body = proposal["body"];
-    std::vector<mistake> mistakes = checkBody(item);
+    std::vector<mistake> mistakes = normalizeBody(item);
     if (!mistakes.empty())
         return tl::unexpected(std::move(mistakes));
     return item;
--- a/Source/Core/Configuration/ConfigurationDuty.cpp
+++ b/Source/Core/Configuration/ConfigurationDuty.cpp
@@ -12,6 +12,7 @@
     constexpr std::chrono::milliseconds tickInterval { 200 };
     constexpr int statusOk = 200;
 
+    /// @return the changes before the first unreadable row, since a change can be applied only after its predecessor.
     std::vector<change> decodeRows(const std::vector<Platform::table_row>& rows)
     {
         std::vector<change> changes;
@@ -33,15 +34,15 @@
 
     snapshot_read decodeSnapshot(const Platform::table_reply& reply)
     {
-        snapshot_read read { reply.outcome, std::nullopt };
+        snapshot_read decoded { reply.outcome, std::nullopt };
         if (reply.rows.empty())
-            return read;
+            return decoded;
         auto state = parseConfiguration(nlohmann::json::parse(reply.rows.front().body, nullptr, false));
         if (state)
-            read.state = std::move(*state);
+            decoded.state = std::move(*state);
         else
             Common::logEvent(Common::log_level::Error, "configuration_snapshot_unreadable");
-        return read;
+        return decoded;
     }
 
     std::string describeConflict(const answer_operator& action)
@@ -117,7 +118,7 @@
 
 void configuration_duty::perform(const write_snapshot& action)
 {
-    // An older snapshot that lands late does no harm: the rows after it are read as well.
+    // Written without a condition: if an older snapshot overwrites a newer one, a starting node only reads more rows.
     Platform::table_put put;
     put.row = { snapshotKey(), action.state->version.value, toJson(*action.state).dump() };
     m_outlets.callTable({ Platform::table_write { { put } }, [](Platform::table_reply&&) {} });
--- a/Source/Core/Configuration/ConfigurationDuty.h
+++ b/Source/Core/Configuration/ConfigurationDuty.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The configuration duty: the thread that runs the version chain's decisions.
+/// The configuration duty: the thread that runs the state machine of the version chain and performs its actions.
 
 #include "Common/Mailbox.h"
 #include "Configuration/VersionChain.h"
@@ -10,7 +10,7 @@
 
 namespace Configuration {
 
-/// Where the duty's actions go. Each function hands a message to another duty and never blocks.
+/// The duty's connections to other duties. Each function passes a message on and never blocks.
 struct configuration_outlets {
     std::function<void(Platform::table_call&&)> callTable;
     std::function<void(std::shared_ptr<const configuration>)> publish;
@@ -24,11 +24,12 @@
 public:
     explicit configuration_duty(configuration_outlets outlets);
 
-    /// Hands a message over; may be called from any thread.
-    /// @return whether the ring took it.
+    /// Queues a message for the duty; may be called from any thread.
+    /// @return false when the inbox ring is full; the message is then left untouched.
     bool submit(chain_message&& message);
-    /// Serves until stop().
+    /// Processes messages and ticks on the calling thread until stop().
     void run();
+    /// Makes run() return; may be called from any thread.
     void stop();
 
 private:
@@ -48,7 +49,7 @@
     chain_state m_state;
 };
 
-/// The partition of the table that holds the chain.
+/// The partition of the table that holds the version chain, one row per change.
 constexpr std::string_view chainPartition = "config";
 /// The partition of the table that holds the newest snapshot.
 constexpr std::string_view snapshotPartition = "config-snapshot";
--- a/Source/Core/Configuration/Model.cpp
+++ b/Source/Core/Configuration/Model.cpp
@@ -10,10 +10,10 @@
     using nlohmann::json;
     using nlohmann::ordered_json;
 
-    constexpr size_t longestName = 64;
-    constexpr int64_t longestTargetMilliseconds = 3600000;
+    constexpr size_t maxNameLength = 64;
+    constexpr int64_t maxTargetMilliseconds = 3600000;
 
-    /// Reads members of one JSON object and gathers every mistake.
+    /// Reads members of one JSON object and collects every invalid one.
     struct member_reader {
         const json& body;
         std::vector<mistake> mistakes;
@@ -29,13 +29,14 @@
             const auto found = body.find(member);
             const bool isText = found != body.end() && found->is_string();
             std::string text = isText ? found->get<std::string>() : "";
-            const bool isNamed = !text.empty() && text.size() <= longestName
+            const bool isValidName = !text.empty() && text.size() <= maxNameLength
                 && text.find_first_not_of("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.") == std::string::npos;
-            if (!isNamed)
+            if (!isValidName)
                 reject(member, "1 to 64 of letters, digits, '-', '_' and '.'");
             return text;
         }
 
+        /// @return the text; empty when the member is missing.
         std::string readText(const std::string& member)
         {
             const auto found = body.find(member);
@@ -48,49 +49,51 @@
             return found->get<std::string>();
         }
 
-        int64_t readInteger(const std::string& member, int64_t missing, int64_t lowest, int64_t highest)
+        int64_t readInteger(const std::string& member, int64_t defaultValue, int64_t minimum, int64_t maximum)
         {
             const auto found = body.find(member);
             if (found == body.end())
-                return missing;
-            const bool isInRange = found->is_number_integer() && found->get<int64_t>() >= lowest && found->get<int64_t>() <= highest;
+                return defaultValue;
+            const bool isInRange = found->is_number_integer() && found->get<int64_t>() >= minimum && found->get<int64_t>() <= maximum;
             if (isInRange)
                 return found->get<int64_t>();
-            reject(member, std::to_string(lowest) + " to " + std::to_string(highest));
-            return missing;
+            reject(member, std::to_string(minimum) + " to " + std::to_string(maximum));
+            return defaultValue;
         }
 
-        std::chrono::milliseconds readTarget(const std::string& member, std::chrono::milliseconds missing)
+        std::chrono::milliseconds readTarget(const std::string& member, std::chrono::milliseconds defaultValue)
         {
-            return std::chrono::milliseconds(readInteger(member, missing.count(), 1, longestTargetMilliseconds));
+            return std::chrono::milliseconds(readInteger(member, defaultValue.count(), 1, maxTargetMilliseconds));
         }
 
-        bool readFlag(const std::string& member, bool missing)
+        bool readFlag(const std::string& member, bool defaultValue)
         {
             const auto found = body.find(member);
             if (found == body.end())
-                return missing;
+                return defaultValue;
             if (found->is_boolean())
                 return found->get<bool>();
             reject(member, "true or false");
-            return missing;
+            return defaultValue;
         }
 
+        /// @return the value with this name; the first choice when the member is missing.
         template <typename choice, size_t count>
         choice readChoice(const std::string& member, const std::array<choice, count>& choices)
         {
             const std::string text = readText(member);
             std::string allowed;
-            for (const choice item : choices) {
-                if (text == nameOf(item))
-                    return item;
-                allowed += (allowed.empty() ? "" : " or ") + std::string(nameOf(item));
+            for (const choice candidate : choices) {
+                if (text == nameOf(candidate))
+                    return candidate;
+                allowed += (allowed.empty() ? "" : " or ") + std::string(nameOf(candidate));
             }
             if (body.contains(member))
                 reject(member, allowed);
             return choices.front();
         }
 
+        /// @return the filled value, moved out, or every invalid member.
         template <typename value_type>
         parsed<value_type> finish(value_type& item)
         {
@@ -103,7 +106,7 @@
     constexpr std::array classKinds { class_kind::Model, class_kind::Service };
     constexpr std::array versionStates { version_state::Current, version_state::TakingOver, version_state::TakenBack };
 
-    constexpr int64_t highestInteger = std::numeric_limits<int64_t>::max();
+    constexpr int64_t maxInteger = std::numeric_limits<int64_t>::max();
 
 } // namespace
 
@@ -132,7 +135,7 @@
 
 parsed<class_of_work> parseClass(const json& body)
 {
-    constexpr int64_t highestPriority = 9;
+    constexpr int64_t maxPriority = 9;
     member_reader reader { body, {} };
     class_of_work item;
     item.name = { reader.readName("name") };
@@ -142,19 +145,19 @@
     item.firstTokenTarget = reader.readTarget("first_token_ms", item.firstTokenTarget);
     item.betweenTokensTarget = reader.readTarget("between_tokens_ms", item.betweenTokensTarget);
     item.answerTarget = reader.readTarget("answer_ms", item.answerTarget);
-    item.maxCostPerThousandTokens = { reader.readInteger("max_cost_micro", 0, 0, highestInteger) };
-    item.priority = static_cast<int>(reader.readInteger("priority", 0, 0, highestPriority));
+    item.maxCostPerThousandTokens = { reader.readInteger("max_cost_micro", 0, 0, maxInteger) };
+    item.priority = static_cast<int>(reader.readInteger("priority", 0, 0, maxPriority));
     return reader.finish(item);
 }
 
 parsed<client_account> parseAccount(const json& body)
 {
-    constexpr int64_t highestShare = 1000;
+    constexpr int64_t maxShare = 1000;
     member_reader reader { body, {} };
     client_account item;
     item.id = { reader.readName("name") };
     item.keyDigest = reader.readName("key_digest");
-    item.share = static_cast<uint32_t>(reader.readInteger("share", 1, 1, highestShare));
+    item.share = static_cast<uint32_t>(reader.readInteger("share", 1, 1, maxShare));
     return reader.finish(item);
 }
 
@@ -165,8 +168,8 @@
     item.service = reader.readName("service");
     item.name = { reader.readName("name") };
     item.state = reader.readChoice("state", versionStates);
-    item.startedAt = { reader.readInteger("started_at_ms", 0, 0, highestInteger) };
-    item.deadline = { reader.readInteger("deadline_ms", 0, 0, highestInteger) };
+    item.startedAt = { reader.readInteger("started_at_ms", 0, 0, maxInteger) };
+    item.deadline = { reader.readInteger("deadline_ms", 0, 0, maxInteger) };
     item.cause = reader.readText("cause");
     return reader.finish(item);
 }
--- a/Source/Core/Configuration/Model.h
+++ b/Source/Core/Configuration/Model.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What operators configure: classes of work with their targets, client accounts and versions.
+/// What operators configure: classes of work with their latency and cost targets, client accounts, endpoint versions.
 
 #include "Common/Failure.h"
 #include "Common/Ids.h"
@@ -17,32 +17,32 @@
 
 enum class class_kind {
     Model, ///< Served by model engines: chat completions.
-    Service, ///< Served by a plain service beside the engines.
+    Service, ///< Served by a plain service.
 };
 
-/// A class of work and the target that the system has to meet for it.
+/// A class of work and the latency and cost targets that the system has to meet for it.
 struct class_of_work {
     Common::class_name name;
     class_kind kind { class_kind::Model };
     std::string service; ///< The model or service whose endpoints serve the class.
-    bool isIdempotent { true };
-    std::chrono::milliseconds firstTokenTarget { 810 };
-    std::chrono::milliseconds betweenTokensTarget { 53 };
-    std::chrono::milliseconds answerTarget { 30000 };
-    Common::micro_money maxCostPerThousandTokens { 0 }; ///< Zero: no bound.
-    int priority { 0 };
+    bool isIdempotent { true }; ///< Whether a request may run more than once.
+    std::chrono::milliseconds firstTokenTarget { 810 }; ///< Until the first token of a model answer.
+    std::chrono::milliseconds betweenTokensTarget { 53 }; ///< Between two tokens of a model answer.
+    std::chrono::milliseconds answerTarget { 30000 }; ///< Until the complete answer.
+    Common::micro_money maxCostPerThousandTokens { 0 }; ///< Zero: no limit.
+    int priority { 0 }; ///< 0 to 9; sent to the model engine with each request.
 };
 
 struct client_account {
     Common::account_id id;
-    std::string keyDigest;
-    uint32_t share { 1 }; ///< Weight of the account when capacity is short.
+    std::string keyDigest; ///< What digestKey() returned for the account's key.
+    uint32_t share { 1 }; ///< Weight of the account when capacity is scarce.
 };
 
 enum class version_state {
-    Current, ///< Takes all traffic that no other version takes.
-    TakingOver, ///< Being rolled out.
-    TakenBack, ///< Withdrawn; receives nothing.
+    Current, ///< Receives all traffic that is not routed to another version.
+    TakingOver, ///< Being rolled out; receives a share of the traffic.
+    TakenBack, ///< Withdrawn; receives no traffic.
 };
 
 /// A version of the endpoints of one service.
@@ -51,11 +51,11 @@
     Common::version_name name;
     version_state state { version_state::Current };
     Common::wall_time startedAt;
-    Common::wall_time deadline; ///< Zero: none.
+    Common::wall_time deadline; ///< End of the rollout; zero: none.
     std::string cause; ///< Why it is in this state.
 };
 
-/// The whole configuration at one version of the chain.
+/// The whole configuration at one version of the version chain.
 struct configuration {
     Common::config_version version;
     std::map<Common::class_name, class_of_work> classes;
@@ -63,46 +63,53 @@
     std::map<std::string, endpoint_version> versions; ///< By "service/version".
 };
 
-/// @param service a service's name.
-/// @param version a version's name.
-/// @return its key in configuration::versions.
+/// @param service name of the service.
+/// @param version name of the version.
+/// @return the version's key in configuration::versions.
 std::string versionKey(const std::string& service, const Common::version_name& version);
 
-/// @param kind a class kind.
-/// @return its name in changes.
+/// @param kind any class kind.
+/// @return its name in the JSON of a change.
 std::string_view nameOf(class_kind kind);
-/// @param state a version state.
-/// @return its name in changes.
+/// @param state any version state.
+/// @return its name in the JSON of a change.
 std::string_view nameOf(version_state state);
 
-/// One rejected member of a change.
+/// One missing or invalid member of a JSON object.
 struct mistake {
-    std::string member;
-    std::string value;
-    std::string allowed;
+    std::string member; ///< Name of the member.
+    std::string value; ///< The rejected value, or "missing".
+    std::string allowed; ///< Description of the allowed values.
 };
 
+/// A parsed value, or every invalid member.
 template <typename value_type>
 using parsed = tl::expected<value_type, std::vector<mistake>>;
 
 /// @param body members of a class of work.
-/// @return the class, or every mistake in it.
+/// @return the class, or every invalid member.
 parsed<class_of_work> parseClass(const nlohmann::json& body);
 /// @param body members of a client account.
-/// @return the account, or every mistake in it.
+/// @return the account, or every invalid member.
 parsed<client_account> parseAccount(const nlohmann::json& body);
 /// @param body members of an endpoint version.
-/// @return the version, or every mistake in it.
+/// @return the version, or every invalid member.
 parsed<endpoint_version> parseVersion(const nlohmann::json& body);
 
+/// @param item the class of work.
+/// @return its members, readable by parseClass.
 nlohmann::ordered_json toJson(const class_of_work& item);
+/// @param item the account.
+/// @return its members, readable by parseAccount.
 nlohmann::ordered_json toJson(const client_account& item);
+/// @param item the version.
+/// @return its members, readable by parseVersion.
 nlohmann::ordered_json toJson(const endpoint_version& item);
 /// @param state the configuration.
 /// @return the whole configuration as one object, readable by parseConfiguration.
 nlohmann::ordered_json toJson(const configuration& state);
-/// @param body what toJson gave.
-/// @return the configuration, or every mistake in it.
+/// @param body the JSON of a whole configuration, as returned by toJson.
+/// @return the configuration, or the invalid members of the first invalid object.
 parsed<configuration> parseConfiguration(const nlohmann::json& body);
 
 } // namespace Configuration
--- a/Source/Core/Configuration/Secret.cpp
+++ b/Source/Core/Configuration/Secret.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-    std::string hexadecimal(const unsigned char* bytes, size_t count)
+    std::string toHexadecimal(const unsigned char* bytes, size_t count)
     {
         constexpr std::string_view digits = "0123456789abcdef";
         constexpr int nibbleBits = 4;
@@ -31,14 +31,14 @@
     std::random_device device;
     for (unsigned char& byte : bytes)
         byte = static_cast<unsigned char>(device());
-    return hexadecimal(bytes.data(), bytes.size());
+    return toHexadecimal(bytes.data(), bytes.size());
 }
 
 std::string digestKey(std::string_view key)
 {
     std::array<unsigned char, SHA256_DIGEST_LENGTH> digest {};
     SHA256(reinterpret_cast<const unsigned char*>(key.data()), key.size(), digest.data());
-    return hexadecimal(digest.data(), digest.size());
+    return toHexadecimal(digest.data(), digest.size());
 }
 
 } // namespace Configuration
--- a/Source/Core/Configuration/Tests/ModelTest.cpp
+++ b/Source/Core/Configuration/Tests/ModelTest.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// What operators write is checked whole, and every mistake is told.
+/// Parsing and validation of operators' changes, and the JSON form of changes and configurations.
 
 #include "Configuration/Change.h"
 
@@ -14,7 +14,7 @@
 
 TEST_GROUP(ConfigurationModel) {};
 
-TEST(ConfigurationModel, EveryMistakeIsReportedAtOnce)
+TEST(ConfigurationModel, AllInvalidMembersAreReportedTogether)
 {
     struct row {
         const char* body;
@@ -33,7 +33,7 @@
     }
 }
 
-TEST(ConfigurationModel, ProposalsAreTypedOrRejected)
+TEST(ConfigurationModel, ProposalsAreParsedOrRejected)
 {
     struct row {
         const char* proposal;
@@ -56,7 +56,7 @@
     }
 }
 
-TEST(ConfigurationModel, AChangeAndAConfigurationSurviveTheirJson)
+TEST(ConfigurationModel, AChangeAndAConfigurationRoundTripThroughJson)
 {
     auto item = parseProposal(json::parse(R"({"kind":"class","cause":"why","body":{"name":"a","service":"m","priority":3}})"));
     CHECK(item.has_value());
@@ -67,12 +67,12 @@
     STRCMP_EQUAL(encodeChange(*item).c_str(), encodeChange(*decoded).c_str());
     configuration state;
     CHECK(applyChange(state, *decoded));
-    const auto again = parseConfiguration(json::parse(toJson(state).dump()));
-    CHECK(again.has_value());
-    STRCMP_EQUAL(toJson(state).dump().c_str(), toJson(*again).dump().c_str());
+    const auto reparsed = parseConfiguration(json::parse(toJson(state).dump()));
+    CHECK(reparsed.has_value());
+    STRCMP_EQUAL(toJson(state).dump().c_str(), toJson(*reparsed).dump().c_str());
 }
 
-TEST(ConfigurationModel, AVersionThatBecomesCurrentEndsTheOneBefore)
+TEST(ConfigurationModel, AVersionThatBecomesCurrentReplacesThePreviousOne)
 {
     configuration state;
     const char* proposals[] = {
--- a/Source/Core/Configuration/Tests/VersionChainTest.cpp
+++ b/Source/Core/Configuration/Tests/VersionChainTest.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// The version chain: one winner a version, no way back, lost replies settled by reading back.
+/// The version chain: one accepted change per version, versions only increase, and after a lost reply the row is read
+/// back to find out whether it was written.
 
 #include "Configuration/VersionChain.h"
 
@@ -23,9 +24,9 @@
     return item;
 }
 
-proposal makeProposal(uint64_t token, const std::string& changeToken, const std::string& name)
+proposal makeProposal(uint64_t operatorToken, const std::string& changeToken, const std::string& name)
 {
-    return { { token }, makeChange(0, changeToken, name), {} };
+    return { { operatorToken }, makeChange(0, changeToken, name), {} };
 }
 
 template <typename action_type>
@@ -47,7 +48,7 @@
 
 TEST_GROUP(VersionChain) {};
 
-TEST(VersionChain, AcceptedOnlyWhenTheWriteIsKnownToHaveWon)
+TEST(VersionChain, AProposalIsAcceptedOnlyWhenItsWriteIsKnownToHaveSucceeded)
 {
     struct row {
         table_outcome outcome;
@@ -70,19 +71,19 @@
     }
 }
 
-TEST(VersionChain, ALostReplyIsSettledByReadingBack)
+TEST(VersionChain, AfterALostReplyAProposalIsAcceptedWhenItsRowIsReadBack)
 {
     chain_state state;
     step(state, makeProposal(1, "mine", "a"));
-    const auto lost = step(state, write_done { "mine", table_outcome::Unknown });
-    CHECK(find<read_changes>(lost) != nullptr);
+    const auto afterLostReply = step(state, write_done { "mine", table_outcome::Unknown });
+    CHECK(find<read_changes>(afterLostReply) != nullptr);
     const auto actions = step(state, rows_read { table_outcome::Done, { makeChange(1, "mine", "a") } });
     const auto* answer = find<answer_operator>(actions);
     CHECK(answer && answer->outcome);
     LONGS_EQUAL(1, state.current.version.value);
 }
 
-TEST(VersionChain, OfTwoOperatorsOneWinsAndTheOtherIsToldWhatChanged)
+TEST(VersionChain, AConcurrentChangeIsAConflictOnTheSameObjectAndARetryOnAnother)
 {
     struct row {
         const char* otherSubject;
@@ -101,7 +102,7 @@
             STRCMP_EQUAL("theirs", answer->conflicting.front().token.c_str());
             continue;
         }
-        // Another object: tried again as the next version.
+        // The other author changed another object: the change is written again with the next version.
         const auto* write = find<write_change>(actions);
         CHECK(write != nullptr);
         LONGS_EQUAL(2, write->item.version.value);
@@ -124,15 +125,15 @@
 {
     chain_state state;
     step(state, makeProposal(1, "mine", "a"));
-    const auto read = step(state, rows_read { table_outcome::Done, { makeChange(1, "mine", "a") } });
-    CHECK(find<answer_operator>(read) != nullptr);
-    const auto late = step(state, write_done { "mine", table_outcome::Done });
-    CHECK(find<write_change>(late) == nullptr);
-    CHECK(find<answer_operator>(late) == nullptr);
+    const auto afterRead = step(state, rows_read { table_outcome::Done, { makeChange(1, "mine", "a") } });
+    CHECK(find<answer_operator>(afterRead) != nullptr);
+    const auto afterLateReply = step(state, write_done { "mine", table_outcome::Done });
+    CHECK(find<write_change>(afterLateReply) == nullptr);
+    CHECK(find<answer_operator>(afterLateReply) == nullptr);
     LONGS_EQUAL(1, state.current.version.value);
 }
 
-TEST(VersionChain, AProposalDecidedOnAnOldVersionIsComparedWithWhatThisNodeAlreadyApplied)
+TEST(VersionChain, AProposalBasedOnAnOldVersionConflictsWithLaterChangesOfItsObject)
 {
     struct row {
         uint64_t seen;
@@ -143,15 +144,15 @@
     for (const row& item : rows) {
         chain_state state;
         step(state, rows_read { table_outcome::Done, { makeChange(1, "t1", "x"), makeChange(2, "t2", "a") } });
-        proposal late = makeProposal(1, "mine", item.subject);
-        late.seenVersion = { item.seen };
-        const auto actions = step(state, std::move(late));
+        proposal candidate = makeProposal(1, "mine", item.subject);
+        candidate.seenVersion = { item.seen };
+        const auto actions = step(state, std::move(candidate));
         CHECK_EQUAL(item.isConflict, find<answer_operator>(actions) != nullptr);
         CHECK_EQUAL(!item.isConflict, find<write_change>(actions) != nullptr);
     }
 }
 
-TEST(VersionChain, AProposalThatTheStoreRefusedIsAnsweredSoonAndTruly)
+TEST(VersionChain, AProposalWhoseWritesAreRefusedFailsAsNotRun)
 {
     chain_state state;
     step(state, makeProposal(1, "mine", "a"));
@@ -165,11 +166,11 @@
     CHECK(answer->outcome.error().run == Common::run_state::NotRun);
 }
 
-TEST(VersionChain, AStartReadsTheSnapshotAndOnlyTheRowsAfterIt)
+TEST(VersionChain, AStartingNodeReadsTheSnapshotAndOnlyTheRowsAfterIt)
 {
     struct row {
         table_outcome outcome;
-        uint64_t snapshot; ///< Zero: none.
+        uint64_t snapshotVersion; ///< Zero: none.
         uint64_t readAfter;
     };
     const row rows[] = { { table_outcome::Done, 400, 400 }, { table_outcome::Done, 0, 0 }, { table_outcome::Unavailable, 0, 0 } };
@@ -177,22 +178,22 @@
         chain_state state;
         CHECK(find<read_snapshot>(step(state, chain_tick {})) != nullptr);
         snapshot_read read { item.outcome, std::nullopt };
-        if (item.snapshot > 0) {
+        if (item.snapshotVersion > 0) {
             read.state = configuration {};
-            read.state->version = { item.snapshot };
+            read.state->version = { item.snapshotVersion };
         }
         const auto actions = step(state, std::move(read));
         LONGS_EQUAL(item.readAfter, find<read_changes>(actions)->after.value);
-        LONGS_EQUAL(item.snapshot, state.current.version.value);
+        LONGS_EQUAL(item.snapshotVersion, state.current.version.value);
     }
 }
 
-TEST(VersionChain, TheAuthorOfEveryFewHundredthVersionWritesASnapshot)
+TEST(VersionChain, TheAuthorOfEveryMultipleOfTheSnapshotIntervalWritesASnapshot)
 {
     chain_state state;
-    configuration known;
-    known.version = { snapshotInterval - 2 };
-    step(state, peer_snapshot { known });
+    configuration base;
+    base.version = { snapshotInterval - 2 };
+    step(state, peer_snapshot { base });
     for (const bool isDue : { false, true }) {
         step(state, makeProposal(1, "mine", "a"));
         const auto actions = step(state, write_done { "mine", table_outcome::Done });
@@ -200,20 +201,20 @@
     }
 }
 
-TEST(VersionChain, OnlyEverMovesUp)
+TEST(VersionChain, OlderSnapshotsAndChangesAreIgnored)
 {
     chain_state state;
     step(state, rows_read { table_outcome::Done, { makeChange(1, "t1", "a"), makeChange(2, "t2", "b") } });
     configuration stale;
     stale.version = { 1 };
-    const auto snapshot = step(state, peer_snapshot { stale });
-    CHECK(find<publish_configuration>(snapshot) == nullptr);
-    const auto old = step(state, peer_changes { { makeChange(1, "t1", "a") } });
-    CHECK(find<publish_configuration>(old) == nullptr);
+    const auto afterSnapshot = step(state, peer_snapshot { stale });
+    CHECK(find<publish_configuration>(afterSnapshot) == nullptr);
+    const auto afterOldChange = step(state, peer_changes { { makeChange(1, "t1", "a") } });
+    CHECK(find<publish_configuration>(afterOldChange) == nullptr);
     LONGS_EQUAL(2, state.current.version.value);
 }
 
-TEST(VersionChain, AGapIsPulledAndNeverSkipped)
+TEST(VersionChain, ChangesAfterAGapAreNotAppliedButPulledFromPeers)
 {
     chain_state state;
     const auto actions = step(state, peer_changes { { makeChange(5, "t5", "e") } });
@@ -221,7 +222,7 @@
     LONGS_EQUAL(0, state.current.version.value);
 }
 
-TEST(VersionChain, APeerGetsTheChangesItLacksOrTheWhole)
+TEST(VersionChain, APeerIsSentTheChangesItLacks)
 {
     struct row {
         uint64_t after;
@@ -240,12 +241,12 @@
     }
 }
 
-TEST(VersionChain, ANodeThatStartedFromASnapshotGivesTheWhole)
+TEST(VersionChain, ANodeThatStartedFromASnapshotSendsTheWholeConfiguration)
 {
     chain_state state;
-    configuration whole;
-    whole.version = { 9 };
-    step(state, peer_snapshot { whole });
+    configuration newer;
+    newer.version = { 9 };
+    step(state, peer_snapshot { newer });
     const auto* reply = find<answer_peer>(step(state, peer_pull { { "peer" }, { 3 } }));
     CHECK(reply == nullptr || reply->snapshot != nullptr);
     CHECK(state.isLoaded);
--- a/Source/Core/Configuration/VersionChain.cpp
+++ b/Source/Core/Configuration/VersionChain.cpp
@@ -8,11 +8,11 @@
 
     using actions = std::vector<chain_action>;
 
-    constexpr int comeBackSeconds = 2;
+    constexpr int retryAfterSeconds = 2;
 
     Common::failure storeUnavailable(Common::run_state run)
     {
-        return { Common::failure_kind::StoreUnavailable, "configuration", run, comeBackSeconds };
+        return { Common::failure_kind::StoreUnavailable, "configuration", run, retryAfterSeconds };
     }
 
     void publish(chain_state& state, actions& output)
@@ -20,12 +20,13 @@
         output.push_back(publish_configuration { std::make_shared<const configuration>(state.current) });
     }
 
+    /// Answers the first proposal and removes it.
     void answer(chain_state& state, actions& output, Common::result<change> outcome)
     {
-        pending_proposal done = std::move(state.waiting.front());
+        pending_proposal finished = std::move(state.waiting.front());
         state.waiting.pop_front();
         state.phase = chain_phase::Idle;
-        output.push_back(answer_operator { done.request.operatorToken, std::move(outcome), std::move(done.seenMeanwhile) });
+        output.push_back(answer_operator { finished.request.operatorToken, std::move(outcome), std::move(finished.concurrentChanges) });
     }
 
     bool touchesSameObject(const change& left, const change& right)
@@ -33,9 +34,10 @@
         return left.kind == right.kind && left.subject == right.subject;
     }
 
-    bool isOvertaken(const pending_proposal& pending)
+    /// @return whether another change to the same object was accepted since the version the proposal is based on.
+    bool hasConflict(const pending_proposal& pending)
     {
-        return std::any_of(pending.seenMeanwhile.begin(), pending.seenMeanwhile.end(),
+        return std::any_of(pending.concurrentChanges.begin(), pending.concurrentChanges.end(),
             [&pending](const change& item) { return touchesSameObject(item, pending.request.item); });
     }
 
@@ -46,25 +48,26 @@
         answer(state, output, tl::unexpected(conflict));
     }
 
-    /// What others changed between the version that the operator decided on and the present one.
-    /// @return false when this node no longer knows all of it.
-    bool gatherSeenMeanwhile(const chain_state& state, pending_proposal& pending)
+    /// Collects the changes between the version that the proposal is based on and the current one.
+    /// @return false when this node no longer keeps all of them.
+    bool collectConcurrentChanges(const chain_state& state, pending_proposal& pending)
     {
         const uint64_t seen = pending.request.seenVersion.value;
         if (seen >= state.current.version.value)
             return true;
-        if (state.recent.empty() || state.recent.front().version.value > seen + 1)
+        if (state.recentChanges.empty() || state.recentChanges.front().version.value > seen + 1)
             return false;
-        for (const change& item : state.recent) {
+        for (const change& item : state.recentChanges) {
             if (item.version.value > seen)
-                pending.seenMeanwhile.push_back(item);
+                pending.concurrentChanges.push_back(item);
         }
         return true;
     }
 
-    void beginNext(chain_state& state, actions& output)
+    /// Answers proposals that have a conflict, then writes the next one if no write is in flight.
+    void startNextProposal(chain_state& state, actions& output)
     {
-        while (state.phase == chain_phase::Idle && !state.waiting.empty() && isOvertaken(state.waiting.front()))
+        while (state.phase == chain_phase::Idle && !state.waiting.empty() && hasConflict(state.waiting.front()))
             answerConflict(state, output);
         if (state.phase != chain_phase::Idle || state.waiting.empty())
             return;
@@ -74,17 +77,19 @@
         output.push_back(write_change { item });
     }
 
-    void readNewer(chain_state& state, Common::instant now, actions& output)
+    /// Reads the rows after the current version, unless such a read is under way.
+    void requestNewerChanges(chain_state& state, Common::instant now, actions& output)
     {
-        if (state.isReading && now < state.readingUntil)
+        if (state.isReading && now < state.readDeadline)
             return;
         state.isReading = true;
-        state.readingUntil = now + readTimeLimit;
+        state.readDeadline = now + readTimeLimit;
         output.push_back(read_changes { state.current.version });
     }
 
-    /// Applies what follows on the present version; drops what is old or after a gap.
-    std::vector<change> applyFollowing(chain_state& state, std::vector<change>&& changes)
+    /// Applies the changes that directly follow the current version; ignores older ones and those after a gap.
+    /// @return the applied changes.
+    std::vector<change> applyNextChanges(chain_state& state, std::vector<change>&& changes)
     {
         std::vector<change> applied;
         for (change& item : changes) {
@@ -92,23 +97,24 @@
                 continue;
             for (pending_proposal& pending : state.waiting) {
                 if (item.version > pending.request.seenVersion && item.token != pending.request.item.token)
-                    pending.seenMeanwhile.push_back(item);
+                    pending.concurrentChanges.push_back(item);
             }
-            state.recent.push_back(item);
-            if (state.recent.size() > maxRecentChanges)
-                state.recent.pop_front();
+            state.recentChanges.push_back(item);
+            if (state.recentChanges.size() > maxRecentChanges)
+                state.recentChanges.pop_front();
             applied.push_back(std::move(item));
         }
         return applied;
     }
 
-    /// After the chain has grown under a proposal in flight: won, lost to another author, or to be tried again.
-    void settleInFlight(chain_state& state, const std::vector<change>& applied, actions& output)
+    /// Updates the proposal in flight after changes were applied: accepted if its own change is among them, a conflict if
+    /// another author's change has changed the same object, otherwise to be written again with the next version.
+    void resolveProposalInFlight(chain_state& state, const std::vector<change>& applied, actions& output)
     {
         if (state.phase == chain_phase::Idle || state.waiting.empty())
             return;
         pending_proposal& pending = state.waiting.front();
-        // Our row may be read, or pushed by a peer, before the reply of its write arrives.
+        // The proposal's row may be read back, or sent by a peer, before the reply of its write arrives.
         for (const change& item : applied) {
             if (item.token == pending.request.item.token) {
                 answer(state, output, item);
@@ -119,20 +125,21 @@
         }
         if (state.phase != chain_phase::ReadingBack)
             return;
-        if (isOvertaken(pending)) {
+        if (hasConflict(pending)) {
             answerConflict(state, output);
             return;
         }
         state.phase = chain_phase::Idle;
     }
 
-    void absorb(chain_state& state, std::vector<change>&& changes, actions& output)
+    /// Applies changes, makes the new configuration effective and sends the applied changes on to the peers.
+    void applyAndPublish(chain_state& state, std::vector<change>&& changes, actions& output)
     {
-        std::vector<change> applied = applyFollowing(state, std::move(changes));
+        std::vector<change> applied = applyNextChanges(state, std::move(changes));
         if (!applied.empty())
             publish(state, output);
-        // A row read back after a lost reply settles the proposal; a peer's push of it does as well.
-        settleInFlight(state, applied, output);
+        // The change of the proposal in flight may come from reading back after a lost reply or from a peer.
+        resolveProposalInFlight(state, applied, output);
         if (!applied.empty())
             output.push_back(tell_peers { std::move(applied) });
     }
@@ -140,18 +147,18 @@
     void handle(chain_state& state, proposal&& message, Common::instant now, actions& output)
     {
         if (state.waiting.size() >= maxWaitingProposals) {
-            const Common::failure full { Common::failure_kind::Overloaded, "configuration", Common::run_state::NotRun, comeBackSeconds };
-            output.push_back(answer_operator { message.operatorToken, tl::unexpected(full), {} });
+            const Common::failure overloaded { Common::failure_kind::Overloaded, "configuration", Common::run_state::NotRun, retryAfterSeconds };
+            output.push_back(answer_operator { message.operatorToken, tl::unexpected(overloaded), {} });
             return;
         }
         if (message.seenVersion.value == 0)
             message.seenVersion = state.current.version;
         pending_proposal pending { std::move(message), now + proposalTimeLimit, false, 0, {} };
-        const bool isKnown = gatherSeenMeanwhile(state, pending);
-        if (!isKnown) {
-            // The operator decided on a version too old to compare with: it has to be looked at again.
-            const Common::failure stale { Common::failure_kind::ConfigurationConflict, pending.request.item.subject, Common::run_state::NotRun, 0 };
-            output.push_back(answer_operator { pending.request.operatorToken, tl::unexpected(stale), {} });
+        const bool hasAllChanges = collectConcurrentChanges(state, pending);
+        if (!hasAllChanges) {
+            // The seen version is too old to check for conflicts; the operator has to review the current configuration.
+            const Common::failure conflict { Common::failure_kind::ConfigurationConflict, pending.request.item.subject, Common::run_state::NotRun, 0 };
+            output.push_back(answer_operator { pending.request.operatorToken, tl::unexpected(conflict), {} });
             return;
         }
         state.waiting.push_back(std::move(pending));
@@ -164,13 +171,13 @@
         pending_proposal& pending = state.waiting.front();
         switch (message.outcome) {
         case Platform::table_outcome::Done: {
-            std::vector<change> won { pending.request.item };
+            std::vector<change> accepted { pending.request.item };
             state.phase = chain_phase::ReadingBack;
-            absorb(state, std::move(won), output);
+            applyAndPublish(state, std::move(accepted), output);
             break;
         }
         case Platform::table_outcome::Unavailable:
-            // Nothing was written; the tick writes again, a few times.
+            // Nothing was written. A tick resets the phase, which sends the write again, up to maxRefusedWrites times.
             state.phase = chain_phase::ReadingBack;
             pending.refusedWrites += 1;
             if (pending.refusedWrites >= maxRefusedWrites && !pending.mayBeWritten)
@@ -180,9 +187,9 @@
             pending.mayBeWritten = true;
             [[fallthrough]];
         case Platform::table_outcome::ConditionFailed:
-            // Another author's row, or our own from a write whose reply was lost: the rows tell.
+            // The row may be another author's, or this proposal's own from a write whose reply was lost. Reading it shows which.
             state.phase = chain_phase::ReadingBack;
-            readNewer(state, now, output);
+            requestNewerChanges(state, now, output);
             break;
         }
     }
@@ -195,11 +202,11 @@
         const bool isFirst = !state.isLoaded;
         state.isLoaded = true;
         const bool isEmpty = message.changes.empty();
-        absorb(state, std::move(message.changes), output);
+        applyAndPublish(state, std::move(message.changes), output);
         if (isFirst && isEmpty)
             publish(state, output);
         if (!isEmpty)
-            readNewer(state, now, output);
+            requestNewerChanges(state, now, output);
     }
 
     void handle(chain_state& state, peer_changes&& message, Common::instant, actions& output)
@@ -210,16 +217,16 @@
             return;
         }
         state.isLoaded = state.isLoaded || !message.changes.empty();
-        absorb(state, std::move(message.changes), output);
+        applyAndPublish(state, std::move(message.changes), output);
     }
 
     void handle(chain_state& state, peer_snapshot&& message, Common::instant, actions& output)
     {
-        // A node only moves to a higher version.
+        // A node never goes back to a lower version.
         if (message.state.version <= state.current.version)
             return;
         state.current = std::move(message.state);
-        state.recent.clear();
+        state.recentChanges.clear();
         state.isLoaded = true;
         publish(state, output);
     }
@@ -229,7 +236,7 @@
         state.hasReadSnapshot = state.hasReadSnapshot || message.outcome == Platform::table_outcome::Done;
         if (message.state)
             handle(state, peer_snapshot { std::move(*message.state) }, now, output);
-        readNewer(state, now, output);
+        requestNewerChanges(state, now, output);
     }
 
     void handle(chain_state& state, peer_is_ahead&& message, Common::instant, actions& output)
@@ -243,17 +250,18 @@
         if (message.after >= state.current.version)
             return;
         answer_peer reply { message.peer, {}, nullptr };
-        const bool hasAll = !state.recent.empty() && state.recent.front().version.value <= message.after.value + 1;
+        const bool hasAll = !state.recentChanges.empty() && state.recentChanges.front().version.value <= message.after.value + 1;
         if (!hasAll)
             reply.snapshot = std::make_shared<const configuration>(state.current);
-        for (const change& item : state.recent) {
+        for (const change& item : state.recentChanges) {
             if (hasAll && item.version > message.after)
                 reply.changes.push_back(item);
         }
         output.push_back(std::move(reply));
     }
 
-    void expire(chain_state& state, Common::instant now, actions& output)
+    /// Fails proposals whose time limit has passed.
+    void failExpiredProposals(chain_state& state, Common::instant now, actions& output)
     {
         while (!state.waiting.empty() && state.waiting.front().deadline <= now) {
             const bool mayBeWritten = state.waiting.front().mayBeWritten || state.phase == chain_phase::Writing;
@@ -264,16 +272,16 @@
 
     void handle(chain_state& state, chain_tick&&, Common::instant now, actions& output)
     {
-        expire(state, now, output);
+        failExpiredProposals(state, now, output);
         if (state.phase == chain_phase::ReadingBack && state.waiting.front().mayBeWritten)
-            readNewer(state, now, output);
+            requestNewerChanges(state, now, output);
         else if (state.phase == chain_phase::ReadingBack)
             state.phase = chain_phase::Idle;
         if (now < state.nextPoll)
             return;
         state.nextPoll = now + (state.isLoaded ? pollInterval : pullInterval);
         if (state.hasReadSnapshot)
-            readNewer(state, now, output);
+            requestNewerChanges(state, now, output);
         else
             output.push_back(read_snapshot {});
         if (!state.isLoaded)
@@ -286,7 +294,7 @@
 {
     actions output;
     std::visit([&](auto& item) { handle(state, std::move(item), now, output); }, message);
-    beginNext(state, output);
+    startNextProposal(state, output);
     return output;
 }
 
--- a/Source/Core/Configuration/VersionChain.h
+++ b/Source/Core/Configuration/VersionChain.h
@@ -1,8 +1,9 @@
 #pragma once
 
 /// @file
-/// The decisions of the configuration duty: a chain of changes in the table service, one row a version.
-/// A change is accepted when the conditional write of its row is known to have won. No clock, no socket.
+/// The state machine of the configuration duty. The configuration is a chain of changes in the table service with one
+/// row per version. A change is accepted once the conditional write of its row is known to have succeeded.
+/// No clock, no sockets.
 
 #include "Configuration/Change.h"
 #include "Platform/Table.h"
@@ -19,53 +20,54 @@
 struct proposal {
     Common::caller_token operatorToken;
     change item;
-    Common::config_version seenVersion; ///< The version that the operator decided on.
+    Common::config_version seenVersion; ///< The version that the operator based it on; zero: this node's current one.
 };
 
-/// What the last write or read-back of the row in flight said.
+/// Outcome of write_change.
 struct write_done {
-    std::string token; ///< Of the change that was written.
+    std::string token; ///< Token of the change that was written.
     Platform::table_outcome outcome;
 };
 
-/// Rows after the version that was asked for.
+/// Outcome of read_changes: the changes after the requested version, in order.
 struct rows_read {
     Platform::table_outcome outcome;
     std::vector<change> changes;
 };
 
-/// Changes that a peer knows to be accepted.
+/// Accepted changes received from a peer, in order of version.
 struct peer_changes {
     std::vector<change> changes;
 };
 
-/// The whole configuration of a peer, for a node far behind.
+/// A peer's whole configuration, received when this node lacks more changes than the peer keeps.
 struct peer_snapshot {
     configuration state;
 };
 
-/// The newest snapshot in the table, if there is one.
+/// Outcome of read_snapshot.
 struct snapshot_read {
     Platform::table_outcome outcome;
-    std::optional<configuration> state;
+    std::optional<configuration> state; ///< Empty when there is no snapshot or it cannot be decoded.
 };
 
-/// A peer's probe showed a higher version.
+/// A peer has reported a higher version than this node's.
 struct peer_is_ahead {
     Common::config_version version;
 };
 
-/// A peer asks for what comes after a version.
+/// A peer requests the changes after a version.
 struct peer_pull {
     Common::node_id peer;
     Common::config_version after;
 };
 
+/// Drives timeouts, retries and polling; sent after every batch of messages and at least once per tick interval.
 struct chain_tick { };
 
 using chain_message = std::variant<proposal, write_done, rows_read, snapshot_read, peer_changes, peer_snapshot, peer_is_ahead, peer_pull, chain_tick>;
 
-/// Put the change's row if it is absent.
+/// Write the change's row on condition that no row with its version exists.
 struct write_change {
     change item;
 };
@@ -75,87 +77,94 @@
     Common::config_version after;
 };
 
-/// Read the newest snapshot, so that a start does not read the whole chain.
+/// Read the newest snapshot, so that a starting node need not read the whole chain.
 struct read_snapshot { };
 
-/// Keep the whole configuration in the table.
+/// Store the whole configuration in the table.
 struct write_snapshot {
     std::shared_ptr<const configuration> state;
 };
 
-/// Put a new configuration in force on this node.
+/// Make a new configuration effective on this node.
 struct publish_configuration {
     std::shared_ptr<const configuration> state;
 };
 
-/// Push accepted changes to the peers.
+/// Send accepted changes to the peers.
 struct tell_peers {
     std::vector<change> changes;
 };
 
-/// Ask a peer for what comes after a version.
+/// Request the changes after a version from a peer.
 struct pull_from_peers {
     Common::config_version after;
 };
 
-/// Give a peer the changes it lacks, or the whole configuration when it lacks too many.
+/// Send a peer the changes it lacks, or the whole configuration when this node no longer keeps all of them.
 struct answer_peer {
     Common::node_id peer;
     std::vector<change> changes;
-    std::shared_ptr<const configuration> snapshot;
+    std::shared_ptr<const configuration> snapshot; ///< Null when the changes are sent.
 };
 
-/// Tell an operator how the proposal ended.
+/// Answer an operator's proposal.
 struct answer_operator {
     Common::caller_token operatorToken;
-    Common::result<change> outcome;
-    std::vector<change> conflicting; ///< What others changed meanwhile.
+    Common::result<change> outcome; ///< The accepted change or the failure.
+    std::vector<change> conflicting; ///< Changes by others since the version that the proposal is based on.
 };
 
 using chain_action = std::variant<write_change, read_changes, read_snapshot, write_snapshot, publish_configuration, tell_peers, pull_from_peers, answer_peer, answer_operator>;
 
 enum class chain_phase {
-    Idle,
-    Writing,
-    ReadingBack, ///< The reply of a write was lost: is the row ours?
+    Idle, ///< No write in flight.
+    Writing, ///< Waiting for the reply of write_change.
+    ReadingBack, ///< The write was refused and is retried, or its effect is unknown and the rows are read back.
 };
 
-/// A proposal under way.
+/// A proposal that is queued or in flight.
 struct pending_proposal {
     proposal request;
     Common::instant deadline;
-    bool mayBeWritten { false }; ///< A write was sent whose effect is not known.
-    uint32_t refusedWrites { 0 }; ///< Writes that the store proved not to have taken.
-    std::vector<change> seenMeanwhile;
+    bool mayBeWritten { false }; ///< The reply of a write was lost, so its row may exist.
+    uint32_t refusedWrites { 0 }; ///< Writes that failed and are known to have stored nothing.
+    std::vector<change> concurrentChanges; ///< Changes by others since the seen version.
 };
 
 struct chain_state {
     configuration current;
     chain_phase phase { chain_phase::Idle };
-    std::deque<change> recent; ///< The newest links, for peers that lack a few.
-    std::deque<pending_proposal> waiting; ///< The first is the one in flight.
+    std::deque<change> recentChanges; ///< The newest changes, oldest first, for peers that lack a few.
+    std::deque<pending_proposal> waiting; ///< The first is the one in flight unless phase is Idle.
     bool isReading { false };
-    Common::instant readingUntil; ///< A reply later than this is taken as lost.
+    Common::instant readDeadline; ///< A reply that has not arrived by then is treated as lost.
     bool hasReadSnapshot { false };
-    bool isLoaded { false }; ///< The table or a peer has been heard once.
+    bool isLoaded { false }; ///< The table has been read or a peer has sent a configuration since the start.
     Common::instant nextPoll;
 };
 
+/// Interval of reading the table once a configuration is loaded.
 constexpr std::chrono::seconds pollInterval { 5 };
+/// Interval of reading the table and asking the peers until a configuration is loaded.
 constexpr std::chrono::seconds pullInterval { 1 };
+/// A proposal that is not decided after this time fails with StoreUnavailable.
 constexpr std::chrono::seconds proposalTimeLimit { 10 };
+/// A read of rows without a reply after this time is treated as lost and may be repeated.
 constexpr std::chrono::seconds readTimeLimit { 5 };
-/// So many refused writes, a tick apart, end a proposal of which nothing was written.
+/// A proposal fails with StoreUnavailable after this many refused writes, one per tick, if none of its writes may have
+/// been stored.
 constexpr uint32_t maxRefusedWrites { 4 };
 constexpr size_t maxWaitingProposals { 64 };
+/// A peer that lacks more changes than this gets the whole configuration.
 constexpr size_t maxRecentChanges { 256 };
-/// The author of every such version writes a snapshot.
+/// In versions: the node whose change gets a multiple of this as its version writes a snapshot.
 constexpr uint64_t snapshotInterval { 200 };
 
-/// @param state the chain as this node knows it; changed in place.
-/// @param message what happened.
-/// @param now the present time.
-/// @return what has to be done, in order.
+/// Advances the state machine by one message.
+/// @param state this node's state of the chain; changed in place.
+/// @param message the event to process.
+/// @param now current time.
+/// @return the actions to perform, in order.
 std::vector<chain_action> stepChain(chain_state& state, chain_message&& message, Common::instant now);
 
 } // namespace Configuration
--- a/scripts/mutations.py
+++ b/scripts/mutations.py
@@ -57,7 +57,7 @@
      "    self.waitUntil(begun + share, true);\n    self.handOver(end);\n", "",
      ["Tests/Promises/PromisesCalls", "-n", "AGracefulStopCutsNoCallAndLosesNoOutcome"]),
     ("comparing with what was seen", "Source/Core/Configuration/VersionChain.cpp",
-     "    bool isOvertaken(const pending_proposal& pending)\n    {\n", "    bool isOvertaken(const pending_proposal& pending)\n    {\n        return false;\n",
+     "    bool hasConflict(const pending_proposal& pending)\n    {\n", "    bool hasConflict(const pending_proposal& pending)\n    {\n        return false;\n",
      ["Tests/Promises/PromisesConfiguration", "-n", "OfTwoOperatorsOnTheSameObjectOneIsTold"]),
     ("only a higher version", "Source/Core/Configuration/VersionChain.cpp",
      "        if (message.state.version <= state.current.version)\n            return;\n", "",
