--- a/Source/Core/Catalog/Catalog.cpp
+++ b/Source/Core/Catalog/Catalog.cpp
@@ -58,10 +58,10 @@
     uint64_t total = 0;
     for (const service_share& share : item.shares)
         total += share.weight;
-    double left = uniform * static_cast<double>(total);
+    double remaining = uniform * static_cast<double>(total);
     for (const service_share& share : item.shares) {
-        left -= share.weight;
-        if (left < 0)
+        remaining -= share.weight;
+        if (remaining < 0)
             return share.service;
     }
     return {};
--- a/Source/Core/Catalog/Catalog.h
+++ b/Source/Core/Catalog/Catalog.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What operators have put in force: routes, services, client accounts and limits on input. Decisions on it are pure.
+/// Routes, services, client accounts and input limits as operators define them, and pure functions to look them up.
 
 #include "Common/Ids.h"
 
@@ -16,17 +16,17 @@
 
 using std::chrono::milliseconds;
 
-/// What may be repeated, and the form of the answer.
+/// Whether a request may run more than once, and the form of its answer.
 enum class route_kind {
     Idempotent, ///< May run more than once.
     AtMostOnce, ///< Must not run twice.
-    Stream, ///< Answered by events; must not run twice unless the route is resumable.
+    Stream, ///< Answered by a stream of events; must not run twice unless the route is resumable.
 };
 
-/// One service that a route sends a part of its requests to.
+/// A service that receives a share of a route's requests.
 struct service_share {
     Common::service_name service;
-    uint32_t weight { 1 };
+    uint32_t weight { 1 }; ///< Relative to the sum of the weights of the route.
 };
 
 struct route {
@@ -35,31 +35,31 @@
     std::string prefix; ///< Begins and ends with a slash.
     std::vector<service_share> shares;
     route_kind kind { route_kind::AtMostOnce };
-    milliseconds timeout { 0 }; ///< Longest time a caller is kept waiting; zero when the operator sets none.
-    milliseconds target { 0 }; ///< Latency objective: to the answer, or to a stream's first event.
-    milliseconds longestPause { 0 }; ///< Between the events of a stream; zero when the operator sets none.
+    milliseconds timeout { 0 }; ///< Maximum time that a caller waits; zero when the operator sets none.
+    milliseconds target { 0 }; ///< Latency objective up to the answer, or up to the first event of a stream.
+    milliseconds longestPause { 0 }; ///< Maximum time between two events of a stream; zero when the operator sets none.
     uint32_t priority { 0 }; ///< 0 is the most urgent.
-    uint32_t maxEndpoints { 1 }; ///< Endpoints that one request may be sent to.
-    bool isPublic { false }; ///< Needs no key.
-    bool isSticky { false }; ///< Requests carry prompt parts worth keeping together.
-    bool isResumable { false }; ///< A stream may go on at another endpoint.
+    uint32_t maxEndpoints { 1 }; ///< Maximum number of endpoints that one request may be sent to.
+    bool isPublic { false }; ///< Callers need no key.
+    bool isSticky { false }; ///< Requests carry prompt parts that are best kept on the same endpoint.
+    bool isResumable { false }; ///< A broken stream may be continued at another endpoint.
 };
 
-/// Engines of a service that batches model requests.
+/// Properties of each engine of a service that batches model requests.
 struct engine_profile {
-    uint32_t slots { 1 };
-    uint64_t memoryTokens { 0 };
-    uint64_t bytesPerToken { 0 };
-    bool canMoveRuns { false };
+    uint32_t slots { 1 }; ///< Requests that run at a time.
+    uint64_t memoryTokens { 0 }; ///< Capacity of the KV cache in tokens.
+    uint64_t bytesPerToken { 0 }; ///< Size of a token in the KV cache.
+    bool canMoveRuns { false }; ///< A running request can be moved to another engine.
 };
 
 /// How many endpoints of a service may be ordered in each availability zone, and what they cost.
 struct scaling_bounds {
-    uint32_t least { 0 };
-    uint32_t most { 0 };
+    uint32_t least { 0 }; ///< Minimum number of endpoints in a zone.
+    uint32_t most { 0 }; ///< Maximum number of endpoints in a zone.
     milliseconds bootTime { 0 };
-    double reclaimablePrice { 1 }; ///< As a share of the price of an endpoint that is not reclaimable.
-    std::map<Common::zone_name, double> zonePrices; ///< Of one endpoint for a second.
+    double reclaimablePrice { 1 }; ///< As a fraction of the price of an endpoint that is not reclaimable.
+    std::map<Common::zone_name, double> zonePrices; ///< Price of one endpoint for a second, by zone.
 };
 
 struct service {
@@ -70,22 +70,22 @@
     std::optional<scaling_bounds> scaling;
 };
 
-/// What a client account may ask for, over all nodes together. A rate of zero is no limit.
+/// Rate limit of a client account, enforced over all nodes together. A rate of zero means no limit.
 struct allowance {
-    double perSecond { 0 };
-    double burst { 0 };
-    bool countsTokens { false }; ///< In tokens when set, else in requests.
-    uint64_t plainTokens { 1 }; ///< Tokens of a request that states none.
+    double perSecond { 0 }; ///< Requests or tokens per second.
+    double burst { 0 }; ///< Requests or tokens that may be used at once after a pause.
+    bool countsTokens { false }; ///< The limit counts tokens when set, otherwise requests.
+    uint64_t plainTokens { 1 }; ///< Tokens counted for a request that does not state its tokens.
 };
 
 struct account {
     Common::account_id id;
     std::vector<std::string> keys;
-    std::optional<uint32_t> priority; ///< Goes before the route's.
+    std::optional<uint32_t> priority; ///< Overrides the priority of the route.
     allowance allowed;
 };
 
-/// Bounds on what a caller may send.
+/// Limits on the size and duration of a caller's input.
 struct input_limits {
     uint32_t headerBytes { 16384 };
     uint64_t bodyBytes { uint64_t { 4 } * 1024 * 1024 };
@@ -99,30 +99,31 @@
     std::map<Common::service_name, service> services;
     std::vector<account> accounts;
     input_limits limits;
-    /// Filled by indexCatalog().
+    /// Look-up tables filled by indexCatalog(): indexes into routes and accounts.
     std::map<std::string, std::vector<size_t>, std::less<>> routesByHost;
     std::map<std::string, size_t, std::less<>> accountByKey;
 };
 
 using catalog_pointer = std::shared_ptr<const catalog>;
 
-/// Fills the look-up tables; routes of a host are ordered by falling length of prefix.
+/// Fills the look-up tables. The routes of a host are ordered by descending length of prefix.
+/// @param item the catalog to index, changed in place.
 void indexCatalog(catalog& item);
 
 /// @param item an indexed catalog.
-/// @param host the host a caller asks for, in any case, with or without a port.
+/// @param host the requested host, in upper or lower case, with or without a port.
 /// @param path the path of the request.
 /// @return the route with the longest matching prefix, or null.
 const route* findRoute(const catalog& item, std::string_view host, std::string_view path);
 
 /// @param item an indexed catalog.
 /// @param key a caller's key.
-/// @return the account that holds it, or null.
+/// @return the account that the key belongs to, or null.
 const account* findAccount(const catalog& item, std::string_view key);
 
 /// @param item a route.
-/// @param uniform a number in [0, 1) that spreads requests over the shares.
-/// @return the service that takes the request; empty when the route has none.
+/// @param uniform a uniformly distributed random number in [0, 1).
+/// @return a service chosen with a probability in proportion to its weight; empty when the route has no weights.
 Common::service_name chooseService(const route& item, double uniform);
 
 /// @param item a route.
--- a/Source/Core/Catalog/Tests/CatalogTest.cpp
+++ b/Source/Core/Catalog/Tests/CatalogTest.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Routes, keys and shares of a catalog.
+/// Look-ups in a catalog: a route by host and path, an account by key, a service by weight.
 
 #include "Catalog/Catalog.h"
 
@@ -11,33 +11,33 @@
 
 catalog makeCatalog()
 {
-    catalog made;
-    made.version = 3;
-    const auto add = [&made](const char* name, const char* host, const char* prefix) {
+    catalog result;
+    result.version = 3;
+    const auto addRoute = [&result](const char* name, const char* host, const char* prefix) {
         route item;
         item.name = { name };
         item.host = host;
         item.prefix = prefix;
         item.shares = { { { "a" }, 90 }, { { "b" }, 10 } };
-        made.routes.push_back(item);
+        result.routes.push_back(item);
     };
-    add("root", "h.example", "/");
-    add("long", "h.example", "/a/b/");
-    add("short", "h.example", "/a/");
-    add("other", "g.example", "/a/");
-    account owner;
-    owner.id = { "clerks" };
-    owner.keys = { "k1", "k2" };
-    made.accounts.push_back(owner);
-    indexCatalog(made);
-    return made;
+    addRoute("root", "h.example", "/");
+    addRoute("long", "h.example", "/a/b/");
+    addRoute("short", "h.example", "/a/");
+    addRoute("other", "g.example", "/a/");
+    account testAccount;
+    testAccount.id = { "clerks" };
+    testAccount.keys = { "k1", "k2" };
+    result.accounts.push_back(testAccount);
+    indexCatalog(result);
+    return result;
 }
 
 } // namespace
 
 TEST_GROUP(Catalog) {};
 
-TEST(Catalog, TheLongestPrefixOfTheHostWins)
+TEST(Catalog, TheLongestMatchingPrefixOfTheHostIsChosen)
 {
     struct row {
         const char* host;
@@ -53,34 +53,34 @@
         { "g.example", "/b/", "" },
         { "unknown.example", "/a/", "" },
     };
-    const catalog made = makeCatalog();
+    const catalog testCatalog = makeCatalog();
     for (const row& item : rows) {
-        const route* found = findRoute(made, item.host, item.path);
+        const route* found = findRoute(testCatalog, item.host, item.path);
         STRCMP_EQUAL(item.route, found ? found->name.value.c_str() : "");
     }
 }
 
 TEST(Catalog, OnlyAKnownKeyHasAnAccount)
 {
-    const catalog made = makeCatalog();
-    CHECK(findAccount(made, "k2") != nullptr);
+    const catalog testCatalog = makeCatalog();
+    CHECK(findAccount(testCatalog, "k2") != nullptr);
     for (const char* key : { "", "k3", "K1" })
-        CHECK(findAccount(made, key) == nullptr);
+        CHECK(findAccount(testCatalog, key) == nullptr);
 }
 
-TEST(Catalog, RequestsSpreadOverTheSharesByWeight)
+TEST(Catalog, RequestsAreDistributedByWeight)
 {
     struct row {
         double uniform;
         const char* service;
     };
     const row rows[] = { { 0, "a" }, { 0.89, "a" }, { 0.91, "b" }, { 0.9999, "b" } };
-    const catalog made = makeCatalog();
+    const catalog testCatalog = makeCatalog();
     for (const row& item : rows)
-        STRCMP_EQUAL(item.service, chooseService(made.routes.front(), item.uniform).value.c_str());
+        STRCMP_EQUAL(item.service, chooseService(testCatalog.routes.front(), item.uniform).value.c_str());
 }
 
-TEST(Catalog, WhatMayRepeatFollowsFromTheKind)
+TEST(Catalog, OnlyIdempotentRoutesAndResumableStreamsMayRepeat)
 {
     struct row {
         route_kind kind;
@@ -95,9 +95,9 @@
         { route_kind::Stream, true, true },
     };
     for (const row& item : rows) {
-        route made;
-        made.kind = item.kind;
-        made.isResumable = item.isResumable;
-        CHECK_EQUAL(item.mayRepeat, mayRepeat(made));
+        route testRoute;
+        testRoute.kind = item.kind;
+        testRoute.isResumable = item.isResumable;
+        CHECK_EQUAL(item.mayRepeat, mayRepeat(testRoute));
     }
 }
