--- a/Source/Core/Platform/PlatformDuty.cpp
+++ b/Source/Core/Platform/PlatformDuty.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-    constexpr std::chrono::milliseconds longestWait { 1000 };
+    constexpr std::chrono::milliseconds maxPollWait { 1000 };
 
-    std::string_view metricOf(const table_operation& operation)
+    std::string_view counterNameOf(const table_operation& operation)
     {
         if (std::holds_alternative<table_write>(operation))
             return "filbertreel_table_writes_total";
@@ -34,17 +34,17 @@
     call.onReply({ table_outcome::Unavailable, {} });
 }
 
-void platform_duty::begin(table_call&& call)
+void platform_duty::startCall(table_call&& call)
 {
-    Common::countMetric(metricOf(call.operation));
+    Common::countMetric(counterNameOf(call.operation));
     Http::outgoing_request request = encodeOperation(m_settings.tableUrl, m_settings.tableName, call.operation);
-    auto shared = std::make_shared<table_call>(std::move(call));
-    m_client.start(std::move(request), [shared](Http::transfer_answer&& answer) {
+    auto sharedCall = std::make_shared<table_call>(std::move(call));
+    m_client.start(std::move(request), [sharedCall](Http::transfer_answer&& answer) {
         Common::countMetric("filbertreel_control_bytes_total{peer=\"table\"}", answer.wireBytes);
-        table_reply reply = decodeAnswer(shared->operation, answer);
+        table_reply reply = decodeAnswer(sharedCall->operation, answer);
         if (reply.outcome != table_outcome::Done && reply.outcome != table_outcome::ConditionFailed)
             Common::countMetric("filbertreel_table_failures_total");
-        shared->onReply(std::move(reply));
+        sharedCall->onReply(std::move(reply));
     });
 }
 
@@ -57,9 +57,9 @@
             m_backlog.push_back(std::move(call));
         size_t started = 0;
         while (started < m_backlog.size() && m_client.active() < m_settings.maxConcurrentCalls)
-            begin(std::move(m_backlog[started++]));
+            startCall(std::move(m_backlog[started++]));
         m_backlog.erase(m_backlog.begin(), m_backlog.begin() + static_cast<std::ptrdiff_t>(started));
-        m_client.poll(longestWait);
+        m_client.poll(maxPollWait);
     }
 }
 
--- a/Source/Core/Platform/TableCodec.cpp
+++ b/Source/Core/Platform/TableCodec.cpp
@@ -47,8 +47,9 @@
         return encoded;
     }
 
+    /// The API action, without protocol prefix, and the request body.
     struct encoded_call {
-        std::string_view target;
+        std::string_view action;
         json body;
     };
 
@@ -114,7 +115,7 @@
             return table_outcome::Unknown;
         if (answer.status == statusOk)
             return table_outcome::Done;
-        // The service refuses a throttled or unavailable call before it begins.
+        // The service sends this status before it executes the call, when it is throttled or unavailable.
         if (answer.status == statusUnavailable)
             return table_outcome::Unavailable;
         if (answer.status != statusBadRequest)
@@ -133,7 +134,7 @@
     request.url = serviceUrl + "/";
     request.headers = {
         { "Content-Type", "application/x-amz-json-1.0" },
-        { "X-Amz-Target", std::string(protocolPrefix) + std::string(call.target) },
+        { "X-Amz-Target", std::string(protocolPrefix) + std::string(call.action) },
     };
     request.body = call.body.dump(-1, ' ', false, json::error_handler_t::replace);
     request.timeLimit = operationTimeLimit;
@@ -145,8 +146,8 @@
 {
     if (std::holds_alternative<table_write>(operation))
         return { classifyWrite(answer), {} };
-    const bool isAnswered = answer.end == Http::transfer_end::Complete && answer.status == statusOk;
-    return isAnswered ? decodeRows(answer.body) : table_reply {};
+    const bool isSuccessful = answer.end == Http::transfer_end::Complete && answer.status == statusOk;
+    return isSuccessful ? decodeRows(answer.body) : table_reply {};
 }
 
 } // namespace Platform
