--- a/Source/Core/Directory/DirectoryDuty.cpp
+++ b/Source/Core/Directory/DirectoryDuty.cpp
@@ -13,9 +13,9 @@
 
     Http::server_settings makeServerSettings(const directory_settings& settings)
     {
-        Http::server_settings made;
-        made.listen = settings.listen;
-        return made;
+        Http::server_settings serverSettings;
+        serverSettings.listen = settings.listen;
+        return serverSettings;
     }
 
 } // namespace
@@ -49,24 +49,24 @@
 
 void directory_duty::answer(Http::incoming_request&& request)
 {
-    const auto asked = m_settings.format.read(request);
-    if (!asked)
+    const auto decodedRequest = m_settings.format.read(request);
+    if (!decodedRequest)
         return m_server.respond(request.token, notFoundStatus, {}, "");
-    if (std::holds_alternative<readiness_question>(*asked))
+    if (std::holds_alternative<readiness_question>(*decodedRequest))
         return m_server.respond(request.token, m_isReady ? okStatus : unavailableStatus, {}, "");
-    if (std::holds_alternative<metrics_question>(*asked)) {
+    if (std::holds_alternative<metrics_question>(*decodedRequest)) {
         Common::recordProcessMetrics();
         return m_server.respond(request.token, okStatus, { { "Content-Type", "text/plain; version=0.0.4" } }, Common::printMetrics());
     }
-    answerAddresses(request.token, std::get<address_question>(*asked));
+    answerAddresses(request.token, std::get<address_question>(*decodedRequest));
 }
 
-void directory_duty::answerAddresses(Common::caller_token token, const address_question& asked)
+void directory_duty::answerAddresses(Common::caller_token token, const address_question& callerLocation)
 {
     std::vector<std::string> addresses;
     {
         const std::lock_guard guard(m_mutex);
-        addresses = Fleet::chooseAddresses(m_nodes, asked.zone, asked.region);
+        addresses = Fleet::chooseAddresses(m_nodes, callerLocation.zone, callerLocation.region);
     }
     if (addresses.empty())
         return m_server.respond(token, unavailableStatus, {}, "");
--- a/Source/Core/Directory/DirectoryDuty.h
+++ b/Source/Core/Directory/DirectoryDuty.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// The directory duty: the thread that tells callers where to connect, the platform whether this node is ready, and
-/// whoever asks the metrics.
+/// The directory duty: the thread that serves the addresses of nodes to callers, this node's readiness to the platform,
+/// and the metrics.
 
 #include "Fleet/Directory.h"
 #include "Http/Server.h"
@@ -14,31 +14,31 @@
 
 namespace Directory {
 
-/// A caller asks where to connect.
+/// A caller's request for addresses of nodes to connect to.
 struct address_question {
-    Common::zone_name zone;
-    Common::region_name region;
+    Common::zone_name zone; ///< Of the caller; empty when not stated.
+    Common::region_name region; ///< Of the caller; empty when not stated.
 };
 
-/// The platform asks whether this node takes work.
+/// The platform's request for whether this node accepts work.
 struct readiness_question { };
 
-/// Someone asks for the metrics.
+/// A request for the metrics.
 struct metrics_question { };
 
 using question = std::variant<address_question, readiness_question, metrics_question>;
 
-/// How questions and answers are written; supplied by the adapter.
+/// Decodes requests and encodes answers; supplied by the platform adapter.
 struct question_format {
-    /// @return the question, or nothing when it is none that this duty answers.
+    /// @return the decoded request, or nothing when this duty does not serve its path.
     std::optional<question> (*read)(const Http::incoming_request& request) { nullptr };
     /// @return the body of the answer to an address question.
-    std::string (*writeAddresses)(const std::vector<std::string>& addresses, std::chrono::milliseconds life) { nullptr };
+    std::string (*writeAddresses)(const std::vector<std::string>& addresses, std::chrono::milliseconds timeToLive) { nullptr };
 };
 
 struct directory_settings {
-    std::vector<std::string> listen; ///< IP numbers and ports.
-    std::chrono::milliseconds addressLife { 2000 }; ///< How long callers may keep an answer.
+    std::vector<std::string> listen; ///< IP addresses and ports to listen on.
+    std::chrono::milliseconds addressLife { 2000 }; ///< Time to live of an answer: how long callers may cache it.
     question_format format;
 };
 
@@ -46,17 +46,18 @@
 public:
     explicit directory_duty(directory_settings settings);
 
-    /// Tells of the nodes; may be called from any thread.
+    /// Replaces the nodes whose addresses are served; may be called from any thread.
     void setNodes(const Fleet::node_map& nodes);
-    /// Tells whether this node takes work; may be called from any thread.
+    /// Sets whether this node accepts work; may be called from any thread.
     void setReady(bool isReady);
-    /// Serves until stop(). Throws std::exception when an address can't be bound.
+    /// Serves requests until stop(). Throws std::exception when an address cannot be bound.
     void run();
+    /// Makes run() return; may be called from any thread.
     void stop();
 
 private:
     void answer(Http::incoming_request&& request);
-    void answerAddresses(Common::caller_token token, const address_question& asked);
+    void answerAddresses(Common::caller_token token, const address_question& callerLocation);
 
     directory_settings m_settings;
     std::atomic<bool> m_isReady { false };
