--- a/Source/Core/Audit/AuditDuty.cpp
+++ b/Source/Core/Audit/AuditDuty.cpp
@@ -11,7 +11,7 @@
 namespace {
 
     constexpr size_t ringCapacity = 16384;
-    constexpr std::chrono::milliseconds longestWait { 1000 };
+    constexpr std::chrono::milliseconds maxInboxWait { 1000 };
     constexpr int statusOk = 200;
 
     void countEvent(const event_noted& message)
@@ -39,7 +39,7 @@
     std::vector<audit_message> batch;
     bool isServing = true;
     while (isServing) {
-        isServing = m_inbox.waitInto(longestWait, batch);
+        isServing = m_inbox.waitInto(maxInboxWait, batch);
         for (audit_message& message : batch)
             std::visit([this](auto& item) { handle(std::move(item)); }, message);
     }
@@ -56,7 +56,7 @@
     nlohmann::json fields = message.fields.is_object() ? message.fields : nlohmann::json::object();
     fields["request"] = message.request.value;
     Common::logEvent(Common::log_level::Info, message.event, std::move(fields));
-    keepEvent(m_store, message.request, { message.at, std::move(message.event), std::move(message.fields) });
+    storeEvent(m_store, message.request, { message.at, std::move(message.event), std::move(message.fields) });
 }
 
 void audit_duty::handle(explain_query&& message)
--- a/Source/Core/Audit/EventStore.cpp
+++ b/Source/Core/Audit/EventStore.cpp
@@ -2,16 +2,16 @@
 
 namespace Audit {
 
-void keepEvent(event_store& store, const Common::request_id& request, noted_event&& item)
+void storeEvent(event_store& store, const Common::request_id& request, stored_event&& item)
 {
     auto found = store.byRequest.find(request);
     if (found == store.byRequest.end()) {
-        if (store.order.size() >= store.maxRequests) {
-            store.byRequest.erase(store.order.front());
-            store.order.pop_front();
+        if (store.requestOrder.size() >= store.maxRequests) {
+            store.byRequest.erase(store.requestOrder.front());
+            store.requestOrder.pop_front();
         }
-        found = store.byRequest.emplace(request, std::vector<noted_event> {}).first;
-        store.order.push_back(request);
+        found = store.byRequest.emplace(request, std::vector<stored_event> {}).first;
+        store.requestOrder.push_back(request);
     }
     if (found->second.size() < store.maxEventsPerRequest)
         found->second.push_back(std::move(item));
@@ -23,10 +23,10 @@
     const auto found = store.byRequest.find(request);
     if (found == store.byRequest.end())
         return events;
-    for (const noted_event& item : found->second) {
-        nlohmann::ordered_json line { { "at_ms", item.at.value }, { "event", item.event } };
-        line.update(item.fields);
-        events.push_back(std::move(line));
+    for (const stored_event& item : found->second) {
+        nlohmann::ordered_json entry { { "at_ms", item.at.value }, { "event", item.event } };
+        entry.update(item.fields);
+        events.push_back(std::move(entry));
     }
     return events;
 }
--- a/Source/Core/Audit/EventStore.h
+++ b/Source/Core/Audit/EventStore.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The newest events of a node, by request, so that an operator can ask what happened to one and why.
+/// The events of this node's most recent requests, so that an operator can look up what happened to one and why.
 
 #include "Common/Ids.h"
 
@@ -14,26 +14,31 @@
 
 namespace Audit {
 
-/// One event with the time at which it was noted.
-struct noted_event {
+/// An event and the time at which it occurred.
+struct stored_event {
     Common::wall_time at;
     std::string event;
     nlohmann::json fields;
 };
 
+/// Events in memory, bounded by the number of requests and of events per request.
 struct event_store {
     size_t maxRequests { 2000 };
     size_t maxEventsPerRequest { 64 };
-    std::unordered_map<Common::request_id, std::vector<noted_event>> byRequest;
-    std::deque<Common::request_id> order; ///< Oldest first.
+    std::unordered_map<Common::request_id, std::vector<stored_event>> byRequest;
+    std::deque<Common::request_id> requestOrder; ///< Oldest first.
 };
 
-/// Keeps an event; the oldest request is forgotten when the store is full.
-void keepEvent(event_store& store, const Common::request_id& request, noted_event&& item);
+/// Stores an event; drops it when the request has maxEventsPerRequest already. A new request evicts the oldest one with
+/// all its events when the store is full.
+/// @param store the events, changed in place.
+/// @param request the request that the event belongs to.
+/// @param item the event.
+void storeEvent(event_store& store, const Common::request_id& request, stored_event&& item);
 
 /// @param store the events.
-/// @param request the request asked for.
-/// @return its events as JSON, oldest first; an empty array when it is not known.
+/// @param request the request to look up.
+/// @return its events as JSON, oldest first; an empty array when the request is not in the store.
 nlohmann::ordered_json explainRequest(const event_store& store, const Common::request_id& request);
 
 } // namespace Audit
