--- a/Tests/Platform/CloudStandIn.cpp
+++ b/Tests/Platform/CloudStandIn.cpp
@@ -15,7 +15,7 @@
     constexpr int fencedStatus = 409;
     constexpr int busyStatus = 429;
     constexpr int downStatus = 503;
-    constexpr std::chrono::milliseconds lateBy { 1500 };
+    constexpr std::chrono::milliseconds lateDelay { 1500 };
 
     Http::server_settings makeSettings(uint16_t port)
     {
@@ -24,7 +24,7 @@
         return settings;
     }
 
-    std::string dutyOf(const Http::incoming_request& request, const nlohmann::json& body)
+    std::string dutyName(const Http::incoming_request& request, const nlohmann::json& body)
     {
         if (request.path != "/scale")
             return request.path.substr(1);
@@ -52,7 +52,7 @@
     return m_calls;
 }
 
-int cloud_stand_in::carryOut(const Http::incoming_request& request)
+int cloud_stand_in::applyCall(const Http::incoming_request& request)
 {
     const nlohmann::json body = nlohmann::json::parse(request.body, nullptr, false);
     const std::string fence(Http::findHeader(request.headers, "x-filbertreel-fence-token"));
@@ -60,7 +60,7 @@
         return badRequestStatus;
     const std::lock_guard guard(m_mutex);
     duty_call call;
-    call.duty = dutyOf(request, body);
+    call.duty = dutyName(request, body);
     call.holder = Http::findHeader(request.headers, "x-filbertreel-duty-holder");
     call.fence = std::stoull(fence);
     call.body = body.dump();
@@ -80,12 +80,12 @@
     case cloud_mode::Down:
         return m_server.respond(request.token, downStatus, {}, "{}");
     case cloud_mode::LoseAnswers:
-        carryOut(request);
+        applyCall(request);
         return;
     case cloud_mode::Late:
-        return m_server.runAfter(lateBy, [this, late = std::move(request)] { carryOut(late); });
+        return m_server.runAfter(lateDelay, [this, late = std::move(request)] { applyCall(late); });
     case cloud_mode::Serve: {
-        const int status = carryOut(request);
+        const int status = applyCall(request);
         return m_server.respond(request.token, status, {}, status == fencedStatus ? R"({"error":"fence token is too low"})" : "{}");
     }
     }
--- a/Tests/Platform/CloudStandIn.h
+++ b/Tests/Platform/CloudStandIn.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// A small stand-in of the cloud's interface for duties: orders and usage reports with fencing tokens, and its faults.
+/// A stand-in for the cloud's interface for duties: scaling orders and usage reports with fencing tokens, and faults
+/// that a test can switch on.
 
 #include "Http/Server.h"
 
@@ -18,20 +19,20 @@
 
 enum class cloud_mode {
     Serve,
-    Busy, ///< Answers 429: nothing is done.
-    Down, ///< Answers 503: nothing is done.
-    LoseAnswers, ///< Does what is asked and never answers.
-    Late, ///< Never answers, and does what was asked seconds later.
+    Busy, ///< Answers 429 without applying the call.
+    Down, ///< Answers 503 without applying the call.
+    LoseAnswers, ///< Applies the call and never answers.
+    Late, ///< Never answers, and applies the call after a delay.
 };
 
-/// One call that reached the cloud's duties, in the order in which they took it.
+/// One call to the cloud that a duty made.
 struct duty_call {
     std::string duty; ///< "usage", or "scale" with the service and the zone.
-    std::string holder;
+    std::string holder; ///< The node that held the duty's lease.
     uint64_t fence { 0 };
     std::string body;
-    std::chrono::steady_clock::time_point at;
-    bool isAccepted { false }; ///< Not turned away by its fencing token.
+    std::chrono::steady_clock::time_point at; ///< When the call was applied.
+    bool isAccepted { false }; ///< Whether its fencing token was at least the highest one seen for the duty.
 };
 
 class cloud_stand_in {
@@ -45,16 +46,19 @@
     std::string address() const { return "127.0.0.1:" + std::to_string(m_port); }
     uint16_t port() const { return m_port; }
     void setMode(cloud_mode mode) { m_mode = mode; }
+    /// @return the calls that were applied or rejected for their fencing token, in that order.
     std::vector<duty_call> calls() const;
 
 private:
     void answer(Http::incoming_request&& request);
-    int carryOut(const Http::incoming_request& request);
+    /// Checks the fencing token and records the call.
+    /// @return the HTTP status.
+    int applyCall(const Http::incoming_request& request);
 
     uint16_t m_port;
     mutable std::mutex m_mutex;
     std::vector<duty_call> m_calls;
-    std::map<std::string, uint64_t> m_highestFence;
+    std::map<std::string, uint64_t> m_highestFence; ///< By duty.
     std::atomic<cloud_mode> m_mode { cloud_mode::Serve };
     Http::server m_server;
     std::thread m_thread;
--- a/Tests/Platform/GatewayTest.cpp
+++ b/Tests/Platform/GatewayTest.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Requests through the gateway, with callers and endpoints that misbehave byte by byte.
+/// Requests through the gateway, with callers and endpoints that violate the protocol.
 
 #include "Gateway/GatewayDuty.h"
 #include "Platform/ScriptedEndpoint.h"
@@ -14,11 +14,11 @@
 using namespace PlatformTests;
 using std::chrono::milliseconds;
 
-const std::string sealedHead = "HTTP/1.1 200 OK\r\nX-Filbertreel-Attempt-Id: @ID@\r\nX-Filbertreel-Server-Seal: s.1\r\n";
-const std::string wholeAnswer = sealedHead + "Content-Length: 5\r\n\r\nhello";
-const std::string notRunAnswer = "HTTP/1.1 503 Service Unavailable\r\nX-Filbertreel-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
+const std::string answerHead = "HTTP/1.1 200 OK\r\nX-Filbertreel-Attempt-Id: @ID@\r\nX-Filbertreel-Server-Seal: s.1\r\n";
+const std::string completeAnswer = answerHead + "Content-Length: 5\r\n\r\nhello";
+const std::string notExecutedAnswer = "HTTP/1.1 503 Service Unavailable\r\nX-Filbertreel-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
 const std::string failedAnswer = "HTTP/1.1 500 Oops\r\nX-Filbertreel-Attempt-Id: @ID@\r\nX-Filbertreel-Server-Seal: s.2\r\nContent-Length: 3\r\n\r\nbad";
-const std::string streamHead = sealedHead + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
+const std::string streamHead = answerHead + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 std::string chunk(const std::string& text)
 {
@@ -45,9 +45,9 @@
 
 Catalog::catalog_pointer makeCatalog()
 {
-    auto made = std::make_shared<Catalog::catalog>();
-    made->version = 1;
-    made->routes = {
+    auto newCatalog = std::make_shared<Catalog::catalog>();
+    newCatalog->version = 1;
+    newCatalog->routes = {
         makeRoute("/once/", Catalog::route_kind::AtMostOnce, false, 2),
         makeRoute("/idem/", Catalog::route_kind::Idempotent, false, 2),
         makeRoute("/stream/", Catalog::route_kind::Stream, false, 1),
@@ -55,16 +55,16 @@
     };
     Catalog::service service;
     service.name = { "s" };
-    made->services.emplace(service.name, service);
+    newCatalog->services.emplace(service.name, service);
     Catalog::account account;
     account.id = { "clerks" };
     account.keys = { "k1" };
-    made->accounts.push_back(account);
-    Catalog::indexCatalog(*made);
-    return made;
+    newCatalog->accounts.push_back(account);
+    Catalog::indexCatalog(*newCatalog);
+    return newCatalog;
 }
 
-/// A gateway on a port of its own, with endpoints behind it.
+/// A gateway on its own port, with one scripted endpoint for each script.
 struct running_gateway {
     uint16_t port { findFreePort() };
     std::vector<std::unique_ptr<scripted_endpoint>> endpoints;
@@ -79,20 +79,20 @@
         settings.facts.isFirstStart = true;
         settings.wire = PlatformAdapter::makeWireFormat();
         duty = std::make_unique<Gateway::gateway_duty>(settings, Gateway::gateway_outlets { [](Gateway::interval_report&&) {}, {} });
-        Gateway::endpoints_known known;
+        Gateway::endpoints_known message;
         for (const auto& script : scripts) {
             endpoints.push_back(std::make_unique<scripted_endpoint>(script));
             Fleet::endpoint item;
             item.id = { "e" + std::to_string(endpoints.size()) };
             item.service = { "s" };
-            // The first one is the nearest, so that requests go there first.
-            item.zone = { known.endpoints.empty() ? "z" : "far" };
+            // Only the first endpoint is in the gateway's zone, so requests are sent there first.
+            item.zone = { message.endpoints.empty() ? "z" : "far" };
             item.address = endpoints.back()->address();
-            known.endpoints[item.id] = item;
+            message.endpoints[item.id] = item;
         }
         if (hasCatalog)
             static_cast<void>(duty->submit(Gateway::catalog_known { makeCatalog() }));
-        static_cast<void>(duty->submit(std::move(known)));
+        static_cast<void>(duty->submit(std::move(message)));
         thread = std::thread([this] { duty->run(); });
         waitUntilListening();
     }
@@ -113,9 +113,10 @@
                 std::this_thread::sleep_for(milliseconds(10));
             }
         }
-        FAIL("the gateway does not listen");
+        FAIL("the gateway does not accept connections after 200 tries");
     }
 
+    /// @return the number of requests that reached any endpoint.
     size_t arrivals() const
     {
         size_t count = 0;
@@ -140,9 +141,9 @@
 
 TEST_GROUP(PlatformGateway) {};
 
-TEST(PlatformGateway, ARequestIsPassedOnByteForByte)
+TEST(PlatformGateway, ARequestIsForwardedByteForByteWithoutForgedHeaders)
 {
-    running_gateway gateway({ { { wholeAnswer, answer_end::Keep } } });
+    running_gateway gateway({ { { completeAnswer, answer_end::Keep } } });
     raw_caller caller(gateway.port);
     caller.send(makeRequest("/once/a%2Fb/../c?x=1&&y=%20", "X-Filbertreel-Tenant: forged\r\nX-Filbertreel-Hold: h\r\nX-Free: 1\r\n", "b\r\n\0dy"));
     const std::string answer = caller.receive();
@@ -157,127 +158,127 @@
         CHECK(request.find(absent) == std::string::npos);
 }
 
-TEST(PlatformGateway, AnswersTellTheTruthAboutWhatRan)
+TEST(PlatformGateway, TheStatusSaysWhetherTheEndpointAnsweredTheRequest)
 {
     struct row {
-        const char* what;
+        const char* condition;
         const char* target;
-        std::vector<scripted_answer> script; ///< Of the first endpoint that is asked, and then of the other.
+        std::vector<scripted_answer> script; ///< Answers of the only endpoint, in order.
         int status;
         size_t arrivals;
     };
     const row rows[] = {
         { "no seal", "/once/x", { { "HTTP/1.1 200 OK\r\nX-Filbertreel-Attempt-Id: @ID@\r\nContent-Length: 2\r\n\r\nhi" } }, 502, 1 },
-        { "another request's answer", "/once/x", { { "HTTP/1.1 200 OK\r\nX-Filbertreel-Attempt-Id: other\r\nX-Filbertreel-Server-Seal: s\r\nContent-Length: 2\r\n\r\nhi" } }, 502, 1 },
-        { "no answer at all", "/once/x", { { "garbage\r\n\r\n", answer_end::Close } }, 502, 1 },
+        { "attempt id of another request", "/once/x", { { "HTTP/1.1 200 OK\r\nX-Filbertreel-Attempt-Id: other\r\nX-Filbertreel-Server-Seal: s\r\nContent-Length: 2\r\n\r\nhi" } }, 502, 1 },
+        { "not HTTP", "/once/x", { { "garbage\r\n\r\n", answer_end::Close } }, 502, 1 },
         { "reset before an answer", "/once/x", { { "", answer_end::Reset } }, 502, 1 },
-        { "too short", "/once/x", { { sealedHead + "Content-Length: 9\r\n\r\nhello", answer_end::Close } }, 502, 1 },
-        { "no length, clean end", "/once/x", { { sealedHead + "\r\nhello", answer_end::Close } }, 200, 1 },
-        { "no length, reset", "/once/x", { { sealedHead + "\r\nhello", answer_end::Reset } }, 502, 1 },
-        { "the endpoint's own failure", "/once/x", { { failedAnswer } }, 500, 1 },
-        { "silence", "/once/x", { { "", answer_end::Wait } }, 504, 1 },
-        { "continue first", "/once/x", { { "HTTP/1.1 100 Continue\r\n\r\n" + wholeAnswer } }, 200, 1 },
+        { "body shorter than its length", "/once/x", { { answerHead + "Content-Length: 9\r\n\r\nhello", answer_end::Close } }, 502, 1 },
+        { "no length, connection closed", "/once/x", { { answerHead + "\r\nhello", answer_end::Close } }, 200, 1 },
+        { "no length, connection reset", "/once/x", { { answerHead + "\r\nhello", answer_end::Reset } }, 502, 1 },
+        { "failure answered by the endpoint", "/once/x", { { failedAnswer } }, 500, 1 },
+        { "no answer in time", "/once/x", { { "", answer_end::Wait } }, 504, 1 },
+        { "100 Continue before the answer", "/once/x", { { "HTTP/1.1 100 Continue\r\n\r\n" + completeAnswer } }, 200, 1 },
     };
     for (const row& item : rows) {
         running_gateway gateway({ item.script });
         raw_caller caller(gateway.port);
         caller.send(makeRequest(item.target));
-        CHECK_EQUAL_TEXT(item.status, statusOf(caller.receive()), item.what);
-        CHECK_EQUAL_TEXT(item.arrivals, gateway.arrivals(), item.what);
+        CHECK_EQUAL_TEXT(item.status, statusOf(caller.receive()), item.condition);
+        CHECK_EQUAL_TEXT(item.arrivals, gateway.arrivals(), item.condition);
     }
 }
 
-TEST(PlatformGateway, OnlyWhatMayRunTwiceGoesToASecondEndpoint)
+TEST(PlatformGateway, OnlyIdempotentOrUnexecutedRequestsAreRetried)
 {
     struct row {
-        const char* what;
+        const char* condition;
         const char* target;
         scripted_answer first;
         int status;
         size_t arrivals;
     };
     const row rows[] = {
-        { "not run, at most once", "/once/x", { notRunAnswer }, 200, 2 },
+        { "not executed, at most once", "/once/x", { notExecutedAnswer }, 200, 2 },
         { "reset, at most once", "/once/x", { "", answer_end::Reset }, 502, 1 },
         { "reset, idempotent", "/idem/x", { "", answer_end::Reset }, 200, 2 },
         { "failed, idempotent", "/idem/x", { failedAnswer }, 200, 2 },
         { "failed, at most once", "/once/x", { failedAnswer }, 500, 1 },
     };
     for (const row& item : rows) {
-        running_gateway gateway({ { item.first, { wholeAnswer } }, { { wholeAnswer } } });
+        running_gateway gateway({ { item.first, { completeAnswer } }, { { completeAnswer } } });
         raw_caller caller(gateway.port);
         caller.send(makeRequest(item.target));
-        CHECK_EQUAL_TEXT(item.status, statusOf(caller.receive()), item.what);
-        CHECK_EQUAL_TEXT(item.arrivals, gateway.arrivals(), item.what);
+        CHECK_EQUAL_TEXT(item.status, statusOf(caller.receive()), item.condition);
+        CHECK_EQUAL_TEXT(item.arrivals, gateway.arrivals(), item.condition);
     }
 }
 
-TEST(PlatformGateway, StreamsAreWholeOrLookBroken)
+TEST(PlatformGateway, AnIncompleteStreamIsNeverEndedAsComplete)
 {
     const std::string first = chunk("id: 1\ndata: a\n\n") + chunk("id: 2\nda");
     const std::string rest = chunk("id: 2\ndata: b\n\n") + chunk("id: 3\ndata: c\n\n") + "0\r\n\r\n";
     struct row {
-        const char* what;
+        const char* condition;
         const char* target;
         scripted_answer first;
         scripted_answer second;
-        bool isWhole;
+        bool isComplete;
         const char* text; ///< Must be in the answer.
     };
     const row rows[] = {
-        { "whole", "/stream/x", { streamHead + chunk("id: 1\ndata: a\n\n") + "0\r\n\r\n" }, { "" }, true, "data: a" },
-        { "cut midway", "/stream/x", { streamHead + first, answer_end::Close }, { wholeAnswer }, false, "data: a" },
-        { "reset midway", "/stream/x", { streamHead + first, answer_end::Reset }, { wholeAnswer }, false, "" },
-        { "ends inside an event", "/stream/x", { streamHead + first + "0\r\n\r\n" }, { wholeAnswer }, false, "data: a" },
+        { "complete", "/stream/x", { streamHead + chunk("id: 1\ndata: a\n\n") + "0\r\n\r\n" }, { "" }, true, "data: a" },
+        { "closed midway", "/stream/x", { streamHead + first, answer_end::Close }, { completeAnswer }, false, "data: a" },
+        { "reset midway", "/stream/x", { streamHead + first, answer_end::Reset }, { completeAnswer }, false, "" },
+        { "ends inside an event", "/stream/x", { streamHead + first + "0\r\n\r\n" }, { completeAnswer }, false, "data: a" },
         { "resumed", "/resume/x", { streamHead + first, answer_end::Close }, { streamHead + rest }, true, "data: c" },
-        { "resumed, and failed there", "/resume/x", { streamHead + first, answer_end::Close }, { failedAnswer }, false, "data: a" },
-        { "resumed, and refused there", "/resume/x", { streamHead + first, answer_end::Close }, { notRunAnswer }, false, "data: a" },
+        { "resumed, second endpoint fails", "/resume/x", { streamHead + first, answer_end::Close }, { failedAnswer }, false, "data: a" },
+        { "resumed, second endpoint refuses", "/resume/x", { streamHead + first, answer_end::Close }, { notExecutedAnswer }, false, "data: a" },
     };
     for (const row& item : rows) {
         running_gateway gateway({ { item.first }, { item.second } });
         raw_caller caller(gateway.port);
         caller.send(makeRequest(item.target));
         const std::string answer = caller.receive();
-        CHECK_EQUAL_TEXT(item.isWhole, isWhole(answer), item.what);
-        CHECK_TEXT(answer.find(item.text) != std::string::npos, item.what);
-        if (std::string(item.what) != "resumed")
+        CHECK_EQUAL_TEXT(item.isComplete, isComplete(answer), item.condition);
+        CHECK_TEXT(answer.find(item.text) != std::string::npos, item.condition);
+        if (std::string(item.condition) != "resumed")
             continue;
         CHECK(gateway.endpoints[1]->requests().at(0).find("Last-Event-Id: 1\r\n") != std::string::npos);
         CHECK_EQUAL(answer.find("data: b"), answer.rfind("data: b"));
     }
 }
 
-TEST(PlatformGateway, RequestsThatAnotherParserMayReadOtherwiseGoNowhere)
+TEST(PlatformGateway, AmbiguousRequestsAreRejectedWithoutForwarding)
 {
     const std::string hidden = "POST /once/hidden HTTP/1.1\r\nHost: h.example\r\nX-Filbertreel-Attempt-Id: id9\r\n\r\n";
     struct row {
-        const char* what;
+        const char* condition;
         std::string bytes;
     };
     const row rows[] = {
-        { "both lengths", "POST /once/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden },
-        { "two lengths", "POST /once/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 4\r\nContent-Length: 90\r\n\r\nbody" + hidden },
-        { "unknown coding", "POST /once/x HTTP/1.1\r\nHost: h.example\r\nTransfer-Encoding: xchunked\r\n\r\n" + hidden },
+        { "Content-Length and chunked", "POST /once/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden },
+        { "two Content-Length lines", "POST /once/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 4\r\nContent-Length: 90\r\n\r\nbody" + hidden },
+        { "unknown transfer coding", "POST /once/x HTTP/1.1\r\nHost: h.example\r\nTransfer-Encoding: xchunked\r\n\r\n" + hidden },
         { "bare line feeds", "POST /once/x HTTP/1.1\nHost: h.example\nContent-Length: 0\n\n" },
         { "space before the colon", "POST /once/x HTTP/1.1\r\nHost : h.example\r\nContent-Length: 0\r\n\r\n" },
         { "no host", "POST /once/x HTTP/1.1\r\nContent-Length: 0\r\n\r\n" },
         { "two hosts", "POST /once/x HTTP/1.1\r\nHost: h.example\r\nHost: g.example\r\nContent-Length: 0\r\n\r\n" },
-        { "no path", "POST h.example HTTP/1.1\r\nHost: h.example\r\nContent-Length: 0\r\n\r\n" },
-        { "nonsense", "\x16\x03\x01 nonsense\r\n\r\n" },
+        { "target without a path", "POST h.example HTTP/1.1\r\nHost: h.example\r\nContent-Length: 0\r\n\r\n" },
+        { "not HTTP", "\x16\x03\x01 nonsense\r\n\r\n" },
     };
     for (const row& item : rows) {
-        running_gateway gateway({ { { wholeAnswer } } });
+        running_gateway gateway({ { { completeAnswer } } });
         raw_caller caller(gateway.port);
         caller.send(item.bytes);
-        CHECK_EQUAL_TEXT(400, statusOf(caller.receive()), item.what);
-        CHECK_EQUAL_TEXT(0, gateway.arrivals(), item.what);
+        CHECK_EQUAL_TEXT(400, statusOf(caller.receive()), item.condition);
+        CHECK_EQUAL_TEXT(0, gateway.arrivals(), item.condition);
     }
 }
 
-TEST(PlatformGateway, RefusalsSayWhy)
+TEST(PlatformGateway, EachReasonForARefusalHasItsStatus)
 {
     struct row {
-        const char* what;
+        const char* condition;
         std::string bytes;
         bool hasCatalog;
         int status;
@@ -286,21 +287,21 @@
         { "unknown key", makeRequest("/once/x", "", "body", "k9"), true, 401 },
         { "unknown route", makeRequest("/none/x"), true, 404 },
         { "no catalog yet", makeRequest("/once/x"), false, 503 },
-        { "too long a head", makeRequest("/once/x", "X-Long: " + std::string(20000, 'x') + "\r\n"), true, 431 },
-        { "too long a body", "POST /once/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 99999999\r\n\r\n", true, 413 },
+        { "head over the limit", makeRequest("/once/x", "X-Long: " + std::string(20000, 'x') + "\r\n"), true, 431 },
+        { "body over the limit", "POST /once/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 99999999\r\n\r\n", true, 413 },
     };
     for (const row& item : rows) {
-        running_gateway gateway({ { { wholeAnswer } } }, item.hasCatalog);
+        running_gateway gateway({ { { completeAnswer } } }, item.hasCatalog);
         raw_caller caller(gateway.port);
         caller.send(item.bytes);
         const std::string answer = caller.receive();
-        CHECK_EQUAL_TEXT(item.status, statusOf(answer), item.what);
-        CHECK_EQUAL_TEXT(item.status == 503, answer.find("Retry-After") != std::string::npos, item.what);
-        CHECK_EQUAL_TEXT(0, gateway.arrivals(), item.what);
+        CHECK_EQUAL_TEXT(item.status, statusOf(answer), item.condition);
+        CHECK_EQUAL_TEXT(item.status == 503, answer.find("Retry-After") != std::string::npos, item.condition);
+        CHECK_EQUAL_TEXT(0, gateway.arrivals(), item.condition);
     }
 }
 
-TEST(PlatformGateway, ACallersCloseReachesTheEndpoint)
+TEST(PlatformGateway, ACallersDisconnectClosesTheEndpointConnection)
 {
     for (const char* target : { "/once/x", "/stream/x" }) {
         running_gateway gateway({ { { "", answer_end::Wait } } });
@@ -315,10 +316,10 @@
     }
 }
 
-TEST(PlatformGateway, BytesBehindAWholeAnswerBelongToNoRequest)
+TEST(PlatformGateway, BytesAfterACompleteAnswerAreDiscarded)
 {
     const std::string stray = "HTTP/1.1 200 OK\r\nX-Filbertreel-Attempt-Id: id7\r\nX-Filbertreel-Server-Seal: s\r\nContent-Length: 5\r\n\r\nstray";
-    running_gateway gateway({ { { wholeAnswer + stray, answer_end::Keep } } });
+    running_gateway gateway({ { { completeAnswer + stray, answer_end::Keep } } });
     for (int request = 0; request < 3; ++request) {
         raw_caller caller(gateway.port);
         caller.send(makeRequest("/idem/x"));
--- a/Tests/Platform/NodeTest.cpp
+++ b/Tests/Platform/NodeTest.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// The real program on a stand-in of the platform's store: start, change, outage, reload, leaving.
+/// The real program against a stand-in for the platform's store: start, catalog changes, store faults, reload of the
+/// settings, shutdown.
 
 #include "Platform/RunningNode.h"
 #include "Platform/ScriptedEndpoint.h"
@@ -16,9 +17,9 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-constexpr int longestWaitMs = 8000;
+constexpr int waitLimitMs = 8000;
 
-const std::string wholeAnswer = "HTTP/1.1 200 OK\r\nX-Filbertreel-Attempt-Id: @ID@\r\nX-Filbertreel-Server-Seal: s.1\r\nContent-Length: 5\r\n\r\nhello";
+const std::string completeAnswer = "HTTP/1.1 200 OK\r\nX-Filbertreel-Attempt-Id: @ID@\r\nX-Filbertreel-Server-Seal: s.1\r\nContent-Length: 5\r\n\r\nhello";
 
 json makeManifest(int version, const char* key)
 {
@@ -33,12 +34,13 @@
     return { { "service", "s" }, { "address", address }, { "zone", "z" }, { "version", "v1" }, { "slots", 6 }, { "state", state }, { "born", 1 } };
 }
 
-/// Waits without a bound that a slow machine could miss: the longest wait only ends a test that hangs.
+/// Polls until the condition holds. The time limit only ends a test that hangs: it is long enough for a slow machine.
+/// @return whether the condition held in time.
 template <typename predicate>
-bool eventually(predicate isTrue)
+bool eventually(predicate condition)
 {
-    for (int waited = 0; waited < longestWaitMs; waited += 20) {
-        if (isTrue())
+    for (int waited = 0; waited < waitLimitMs; waited += 20) {
+        if (condition())
             return true;
         std::this_thread::sleep_for(milliseconds(20));
     }
@@ -49,10 +51,10 @@
 
 TEST_GROUP(PlatformNode) {};
 
-TEST(PlatformNode, ANodeServesOnceItKnowsTheCatalogAndFollowsItsChanges)
+TEST(PlatformNode, ANodeServesOnceItHasTheCatalogAndAppliesOnlyNewerVersions)
 {
     store_stand_in store;
-    scripted_endpoint endpoint({ { wholeAnswer } });
+    scripted_endpoint endpoint({ { completeAnswer } });
     running_node node({ .storeAddress = store.address() });
     CHECK(eventually([&] { return node.served() == 503; }));
     CHECK_EQUAL(503, node.readiness());
@@ -61,7 +63,7 @@
     CHECK(eventually([&] { return node.served() == 200; }));
     CHECK_EQUAL(200, node.readiness());
     CHECK(eventually([&] { return ask(node.ready(), "/v1/resolve?zone=z&region=r").find(std::to_string(node.callers())) != std::string::npos; }));
-    // A key is taken away, and a stale manifest changes nothing.
+    // Version 5 replaces the key. Version 4, written after it, is older and must be ignored.
     store.put("op", "config", makeManifest(5, "k2"));
     CHECK(eventually([&] { return node.served() == 401; }));
     store.put("op", "config", makeManifest(4, "k1"));
@@ -71,35 +73,35 @@
     CHECK(ask(node.metrics(), "/metrics").find("filbertreel_catalog_version 5") != std::string::npos);
 }
 
-TEST(PlatformNode, FaultsOfTheStoreChangeNothingThatIsServed)
+TEST(PlatformNode, StoreFaultsDoNotInterruptServing)
 {
     struct row {
-        const char* what;
+        const char* fault;
         store_mode mode;
     };
-    const row rows[] = { { "busy", store_mode::Busy }, { "silent", store_mode::Silent }, { "history lost", store_mode::ForgetHistory } };
+    const row rows[] = { { "busy", store_mode::Busy }, { "silent", store_mode::Silent }, { "no history", store_mode::ForgetHistory } };
     for (const row& item : rows) {
         store_stand_in store;
-        scripted_endpoint endpoint({ { wholeAnswer } });
+        scripted_endpoint endpoint({ { completeAnswer } });
         store.put("op", "config", makeManifest(3, "k1"));
         store.put("servers", "i-1", makeEntry(endpoint.address()));
         running_node node({ .storeAddress = store.address() });
-        CHECK_TEXT(eventually([&] { return node.served() == 200; }), item.what);
+        CHECK_TEXT(eventually([&] { return node.served() == 200; }), item.fault);
         store.setMode(item.mode);
         std::this_thread::sleep_for(milliseconds(1000));
-        CHECK_EQUAL_TEXT(200, node.served(), item.what);
+        CHECK_EQUAL_TEXT(200, node.served(), item.fault);
         store.put("op", "config", makeManifest(6, "k2"));
         if (item.mode != store_mode::ForgetHistory)
             store.setMode(store_mode::Serve);
-        CHECK_TEXT(eventually([&] { return node.served("k2") == 200; }), item.what);
-        CHECK_EQUAL_TEXT(401, node.served(), item.what);
+        CHECK_TEXT(eventually([&] { return node.served("k2") == 200; }), item.fault);
+        CHECK_EQUAL_TEXT(401, node.served(), item.fault);
     }
 }
 
-TEST(PlatformNode, AnEndpointThatLeavesOrGoesTakesNothingMore)
+TEST(PlatformNode, ADrainingOrRemovedEndpointGetsNoMoreRequests)
 {
     store_stand_in store;
-    scripted_endpoint endpoint({ { wholeAnswer } });
+    scripted_endpoint endpoint({ { completeAnswer } });
     store.put("op", "config", makeManifest(3, "k1"));
     store.put("servers", "i-1", makeEntry(endpoint.address()));
     store.put("servers", "i-2", "not an entry");
@@ -121,7 +123,7 @@
 TEST(PlatformNode, ALeavingNodeIsOutOfTheDirectoryAndEndsInTime)
 {
     store_stand_in store;
-    scripted_endpoint endpoint({ { wholeAnswer } });
+    scripted_endpoint endpoint({ { completeAnswer } });
     store.put("op", "config", makeManifest(3, "k1"));
     store.put("servers", "i-1", makeEntry(endpoint.address()));
     running_node node({ .storeAddress = store.address() });
@@ -132,12 +134,12 @@
     const std::string late = ask(node.callers(), "/p/x");
     CHECK_EQUAL(200, statusOf(late));
     CHECK(late.find("Connection: close") != std::string::npos);
-    CHECK_EQUAL(0, Harness::waitForExit(node.child, longestWaitMs));
+    CHECK_EQUAL(0, Harness::waitForExit(node.child, waitLimitMs));
     CHECK(store.keys("nodes").empty());
     CHECK(node.log().find("node_left") != std::string::npos);
 }
 
-TEST(PlatformNode, SettingsAreReadAgainAndBadOnesAreKeptOut)
+TEST(PlatformNode, SettingsAreReloadedAndInvalidOnesAreRejected)
 {
     store_stand_in store;
     store.put("op", "config", makeManifest(3, "k1"));
@@ -151,7 +153,7 @@
     CHECK(Harness::isRunning(node.child));
 }
 
-TEST(PlatformNode, ANodeThatStartsWhileItsSettingsAreReplacedWaitsForThem)
+TEST(PlatformNode, ANodeStartedWithUnreadableSettingsWaitsForReadableOnes)
 {
     store_stand_in store;
     store.put("op", "config", makeManifest(3, "k1"));
--- a/Tests/Platform/RunningNode.cpp
+++ b/Tests/Platform/RunningNode.cpp
@@ -26,15 +26,15 @@
     std::filesystem::remove_all(m_folder);
 }
 
-void running_node::startAgain(const std::string& more)
+void running_node::startAgain(const std::string& extraLines)
 {
-    writeSettings(more);
-    m_loggedBefore = log().size();
+    writeSettings(extraLines);
+    m_earlierLogSize = log().size();
     child = Harness::startProcess({ NODE_PROGRAM, "platform-node" }, { "FILBERTREEL_NODE_FILE=" + settingsPath() }, logPath());
     m_isFirstStart = false;
 }
 
-void running_node::writeSettings(const std::string& more) const
+void running_node::writeSettings(const std::string& extraLines) const
 {
     std::ofstream file(settingsPath());
     file << "nodeName=" << m_surroundings.name << "\nip=127.0.0.1\nzone=z\nregion=r\nzones.z=r\nbounds.graceS=4\n"
@@ -45,12 +45,12 @@
         file << "cloud.address=" << m_surroundings.cloudAddress << "\ncloud.duties=usage,autoscale\ncloud.dutyPerS=20\n";
     for (const std::string& line : m_surroundings.moreLines)
         file << line << "\n";
-    file << more;
+    file << extraLines;
 }
 
 bool running_node::hasBegun() const
 {
-    return log().find("\"node_started\"", m_loggedBefore) != std::string::npos;
+    return log().find("\"node_started\"", m_earlierLogSize) != std::string::npos;
 }
 
 std::string running_node::log() const
--- a/Tests/Platform/RunningNode.h
+++ b/Tests/Platform/RunningNode.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// One real node as a process of its own, with its settings file and log in a folder of its own.
+/// A real node as a child process, with its settings file and log in a temporary folder.
 
 #include "Harness/Process.h"
 
@@ -12,11 +12,11 @@
 
 namespace PlatformTests {
 
-/// What a node's settings file says, beside its own ports.
+/// The settings of a node that differ between tests. Its ports are chosen by running_node.
 struct node_surroundings {
     std::string name { "n1" };
     std::string storeAddress {};
-    std::string cloudAddress {}; ///< Empty: the node has no duties.
+    std::string cloudAddress {}; ///< Empty: the node runs no duties against the cloud.
     std::vector<std::string> moreLines {}; ///< Further lines of the settings file.
 };
 
@@ -29,27 +29,28 @@
     running_node(const running_node&) = delete;
     running_node& operator=(const running_node&) = delete;
 
-    /// Starts the node once more, as the platform does after its process ended.
-    /// @param more lines at the end of its settings file.
-    void startAgain(const std::string& more = "");
-    /// Renews the settings file.
-    /// @param more lines at its end.
-    void writeSettings(const std::string& more) const;
-    /// @return whether the newest process has come as far as to serve and to take signals.
+    /// Starts a new process, as the platform does after a node's process has ended.
+    /// @param extraLines appended to the settings file.
+    void startAgain(const std::string& extraLines = "");
+    /// Rewrites the settings file.
+    /// @param extraLines appended to it.
+    void writeSettings(const std::string& extraLines) const;
+    /// @return whether the newest process has logged its start; from then on it serves and handles signals.
     bool hasBegun() const;
-    /// @return all lines that it has logged.
+    /// @return the log of all processes started so far.
     std::string log() const;
     std::string logPath() const { return (m_folder / "log").string(); }
 
-    /// @return the status of its readiness answer; zero when there is none.
+    /// @return the HTTP status of the readiness check; zero without an answer.
     int readiness() const;
-    /// @return the status of a request to the first route of the tests.
+    /// @return the HTTP status of a request to the tests' route; zero without an answer.
     int served(const std::string& key = "k1") const;
 
+    /// The TCP ports of the node's listeners on 127.0.0.1.
     uint16_t callers() const { return m_callers; }
     uint16_t ready() const { return m_ready; }
     uint16_t metrics() const { return m_metrics; }
-    Harness::process child;
+    Harness::process child; ///< The newest process.
 
 private:
     std::string settingsPath() const { return (m_folder / "boot.conf").string(); }
@@ -61,14 +62,14 @@
     uint16_t m_metrics;
     std::filesystem::path m_folder;
     bool m_isFirstStart { true };
-    size_t m_loggedBefore { 0 }; ///< By earlier processes.
+    size_t m_earlierLogSize { 0 }; ///< Bytes logged by earlier processes.
 };
 
-/// Asks once and reads the whole answer.
-/// @return its bytes; empty when there is no connection.
+/// Sends one GET request and reads the answer.
+/// @return the bytes of the answer; empty without a connection.
 std::string ask(uint16_t port, const std::string& target, const std::string& host = "h.example", const std::string& key = "k1");
 
-/// @return the status of an answer; zero when it has none.
+/// @return the HTTP status of an answer; zero when it has none.
 int statusOf(const std::string& answer);
 
 } // namespace PlatformTests
--- a/Tests/Platform/ScriptedEndpoint.cpp
+++ b/Tests/Platform/ScriptedEndpoint.cpp
@@ -20,20 +20,20 @@
     using boost::asio::ip::udp;
     using boost::system::error_code;
 
-    /// Below the range that outgoing connections take their own ports from.
+    /// Test ports lie below the ephemeral range, so no outgoing connection occupies one.
     constexpr int firstTestPort = 12000;
     constexpr int testPortCount = 11000;
 
-    constexpr int pollMilliseconds = 20;
-    constexpr auto longestRead = std::chrono::seconds(2);
+    constexpr int pollIntervalMs = 20;
+    constexpr auto readTimeout = std::chrono::seconds(2);
 
     bool isReadable(tcp::socket& socket)
     {
         pollfd waiting { socket.native_handle(), POLLIN, 0 };
-        return poll(&waiting, 1, pollMilliseconds) > 0;
+        return poll(&waiting, 1, pollIntervalMs) > 0;
     }
 
-    std::string valueOf(const std::string& head, const std::string& name)
+    std::string headerValue(const std::string& head, const std::string& name)
     {
         const size_t start = head.find("\r\n" + name + ": ");
         if (start == std::string::npos)
@@ -42,13 +42,13 @@
         return head.substr(value, head.find("\r\n", value) - value);
     }
 
-    /// @return the size of a message with its body, or zero while its head is not complete.
+    /// @return the size of a message with its body in bytes; zero while its head is incomplete.
     size_t messageSize(const std::string& bytes)
     {
         const size_t end = bytes.find("\r\n\r\n");
         if (end == std::string::npos)
             return 0;
-        const std::string length = valueOf(bytes.substr(0, end + 2), "Content-Length");
+        const std::string length = headerValue(bytes.substr(0, end + 2), "Content-Length");
         return end + 4 + (length.empty() ? 0 : std::stoul(length));
     }
 
@@ -90,7 +90,7 @@
     m_acceptor.non_blocking(true);
     while (!m_isStopping) {
         pollfd waiting { m_acceptor.native_handle(), POLLIN, 0 };
-        if (poll(&waiting, 1, pollMilliseconds) <= 0)
+        if (poll(&waiting, 1, pollIntervalMs) <= 0)
             continue;
         error_code error;
         tcp::socket socket(m_context);
@@ -107,7 +107,7 @@
     const std::lock_guard guard(m_mutex);
     m_requests.push_back(request);
     scripted_answer answer = m_answers[std::min(m_requests.size(), m_answers.size()) - 1];
-    const std::string id = valueOf(request, "X-Filbertreel-Attempt-Id");
+    const std::string id = headerValue(request, "X-Filbertreel-Attempt-Id");
     for (size_t found = answer.bytes.find("@ID@"); found != std::string::npos; found = answer.bytes.find("@ID@"))
         answer.bytes.replace(found, 4, id);
     return answer;
@@ -155,10 +155,10 @@
 
 std::string raw_caller::receive()
 {
-    const auto until = std::chrono::steady_clock::now() + longestRead;
+    const auto until = std::chrono::steady_clock::now() + readTimeout;
     std::string received;
     std::array<char, 4096> buffer {};
-    while (std::chrono::steady_clock::now() < until && !isWhole(received)) {
+    while (std::chrono::steady_clock::now() < until && !isComplete(received)) {
         if (!isReadable(m_socket))
             continue;
         error_code error;
@@ -179,7 +179,7 @@
 {
     static std::mutex mutex;
     static boost::asio::io_context context;
-    // A bound UDP port tells the other tests of this machine that its number is taken.
+    // Binding the UDP port of the same number reserves it among the test processes of this machine.
     static std::vector<udp::socket> reservations;
     static uint16_t next = static_cast<uint16_t>(firstTestPort + Common::systemSeed() % testPortCount);
     const std::lock_guard guard(mutex);
@@ -199,7 +199,7 @@
     throw std::runtime_error("no free port for a test");
 }
 
-bool isWhole(const std::string& answer)
+bool isComplete(const std::string& answer)
 {
     const size_t end = answer.find("\r\n\r\n");
     if (end == std::string::npos)
--- a/Tests/Platform/ScriptedEndpoint.h
+++ b/Tests/Platform/ScriptedEndpoint.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// An endpoint that answers each request as a script says, byte for byte, and a caller that speaks raw bytes.
+/// An endpoint that answers requests with scripted bytes, and a caller that sends raw bytes.
 
 #include <atomic>
 #include <mutex>
@@ -14,15 +14,15 @@
 
 namespace PlatformTests {
 
-/// What follows the bytes of an answer.
+/// What the endpoint does after it has sent an answer.
 enum class answer_end {
-    Keep, ///< The connection stays open.
-    Close, ///< A clean end.
-    Reset, ///< The connection is reset.
-    Wait, ///< Nothing more until the other side closes.
+    Keep, ///< Keeps the connection open for the next request.
+    Close, ///< Closes the connection.
+    Reset, ///< Resets the connection.
+    Wait, ///< Sends nothing more and expects the other side to close.
 };
 
-/// One answer. "@ID@" in the bytes stands for the attempt id of the request.
+/// One answer. "@ID@" in the bytes is replaced by the request's attempt id.
 struct scripted_answer {
     std::string bytes;
     answer_end end { answer_end::Keep };
@@ -30,7 +30,7 @@
 
 class scripted_endpoint {
 public:
-    /// @param answers one for each request, in order; the last one goes on.
+    /// @param answers one for each request, in order; the last one repeats.
     explicit scripted_endpoint(std::vector<scripted_answer> answers);
     ~scripted_endpoint();
     scripted_endpoint(const scripted_endpoint&) = delete;
@@ -40,7 +40,7 @@
     std::string address() const;
     /// @return the requests that arrived, byte for byte.
     std::vector<std::string> requests() const;
-    /// @return connections that the other side closed while an answer was awaited.
+    /// @return the number of connections that the other side closed after an answer with answer_end::Wait.
     int abandoned() const;
 
 private:
@@ -59,13 +59,13 @@
     std::thread m_thread;
 };
 
-/// A caller's connection.
+/// A caller that sends and receives raw bytes on one connection.
 class raw_caller {
 public:
     explicit raw_caller(uint16_t port);
 
     void send(const std::string& bytes);
-    /// Reads until the connection ends, an answer is complete, or two seconds pass.
+    /// Reads until the connection ends, the answer is complete, or two seconds have passed.
     /// @return all bytes read.
     std::string receive();
     void close();
@@ -75,11 +75,10 @@
     boost::asio::ip::tcp::socket m_socket;
 };
 
-/// @return a port that nobody listens on, outside the range that outgoing connections draw from; until this process ends no
-/// other test gets it, also while nothing listens there.
+/// @return a free TCP port below the ephemeral range, reserved among the tests of this machine until this process ends.
 uint16_t findFreePort();
 
-/// @return whether bytes hold a complete answer with a length, or one in chunks with its last chunk.
-bool isWhole(const std::string& answer);
+/// @return whether an answer has all bytes of its Content-Length, or its last chunk.
+bool isComplete(const std::string& answer);
 
 } // namespace PlatformTests
--- a/Tests/Platform/StoreStandIn.cpp
+++ b/Tests/Platform/StoreStandIn.cpp
@@ -13,11 +13,11 @@
     using nlohmann::json;
 
     constexpr int okStatus = 200;
-    constexpr int goneStatus = 410;
-    constexpr int conditionStatus = 412;
+    constexpr int historyGoneStatus = 410;
+    constexpr int conditionFailedStatus = 412;
     constexpr int busyStatus = 503;
-    /// A feed with nothing to tell is answered after this part of its wait at most.
-    constexpr std::chrono::milliseconds feedWait { 100 };
+    /// A read of the changes feed is answered after this time; the wait that the request asks for is ignored.
+    constexpr std::chrono::milliseconds feedDelay { 100 };
 
     Http::server_settings makeSettings(uint16_t port)
     {
@@ -100,7 +100,7 @@
     return found;
 }
 
-json store_stand_in::stamped(json body) const
+json store_stand_in::withVersionAndTime(json body) const
 {
     const auto now = std::chrono::steady_clock::now().time_since_epoch();
     body["ver"] = m_version;
@@ -108,7 +108,7 @@
     return body;
 }
 
-json store_stand_in::rowsOf(const std::string& table, uint64_t after, bool withRemoved, const std::string& from, const std::string& to) const
+json store_stand_in::selectRows(const std::string& table, uint64_t after, bool withRemoved, const std::string& from, const std::string& to) const
 {
     json rows = json::array();
     for (const auto& [name, row] : m_rows) {
@@ -130,8 +130,8 @@
         const uint64_t version = known == m_rows.end() || known->second.isRemoved ? 0 : known->second.version;
         if (version == condition.at("ver").get<uint64_t>())
             continue;
-        status = conditionStatus;
-        return { { "rows", rowsOf(condition.at("table"), 0, false, condition.at("key"), condition.at("key").get<std::string>() + '\x01') } };
+        status = conditionFailedStatus;
+        return { { "rows", selectRows(condition.at("table"), 0, false, condition.at("key"), condition.at("key").get<std::string>() + '\x01') } };
     }
     ++m_version;
     for (const json& write : body.at("writes"))
@@ -151,19 +151,19 @@
     int status = okStatus;
     if (request.path == "/v1/rows-tx") {
         const json body = transact(json::parse(request.body), status);
-        return m_server.respond(request.token, status, {}, stamped(body).dump());
+        return m_server.respond(request.token, status, {}, withVersionAndTime(body).dump());
     }
     const std::string table = parameter(request, "table");
     if (request.path == "/v1/rows-get") {
-        const json rows = rowsOf(table, 0, false, parameter(request, "from"), parameter(request, "to"));
-        return m_server.respond(request.token, okStatus, {}, stamped({ { "rows", rows }, { "hasMore", false } }).dump());
+        const json rows = selectRows(table, 0, false, parameter(request, "from"), parameter(request, "to"));
+        return m_server.respond(request.token, okStatus, {}, withVersionAndTime({ { "rows", rows }, { "hasMore", false } }).dump());
     }
     if (m_mode == store_mode::ForgetHistory)
-        return m_server.respond(request.token, goneStatus, {}, "{}");
+        return m_server.respond(request.token, historyGoneStatus, {}, "{}");
     const uint64_t after = std::stoull("0" + parameter(request, "sinceRev"));
-    m_server.runAfter(feedWait, [this, table, after, token = request.token] {
-        const std::lock_guard later(m_mutex);
-        m_server.respond(token, okStatus, {}, stamped({ { "rows", rowsOf(table, after, true, "", "") } }).dump());
+    m_server.runAfter(feedDelay, [this, table, after, token = request.token] {
+        const std::lock_guard feedGuard(m_mutex);
+        m_server.respond(token, okStatus, {}, withVersionAndTime({ { "rows", selectRows(table, after, true, "", "") } }).dump());
     });
 }
 
--- a/Tests/Platform/StoreStandIn.h
+++ b/Tests/Platform/StoreStandIn.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// A small stand-in of the platform's store: tables of rows with one counter of versions, conditional transactions, and
-/// the faults of the real one.
+/// A stand-in for the platform's store: tables of rows with one version counter, conditional transactions, and faults
+/// that a test can switch on.
 
 #include "Http/Server.h"
 
@@ -18,9 +18,9 @@
 
 enum class store_mode {
     Serve,
-    Busy, ///< Answers 503: nothing is done.
+    Busy, ///< Answers 503 without a change.
     Silent, ///< Never answers.
-    ForgetHistory, ///< Changes since any version are no longer kept.
+    ForgetHistory, ///< Answers the changes feed with 410: the history has been discarded.
 };
 
 class store_stand_in {
@@ -33,12 +33,12 @@
     /// @return IP number and port.
     std::string address() const;
     void setMode(store_mode mode);
-    /// Writes a row as operators and endpoints do.
+    /// Writes a row without a condition.
     void put(const std::string& table, const std::string& key, const nlohmann::json& value);
     void remove(const std::string& table, const std::string& key);
-    /// @return a row's value; empty when there is none.
+    /// @return a row's value; empty when there is no such row.
     std::string get(const std::string& table, const std::string& key) const;
-    /// @return the keys of a table.
+    /// @return the keys of a table's rows, without removed ones.
     std::vector<std::string> keys(const std::string& table) const;
 
 private:
@@ -49,9 +49,9 @@
     };
 
     void answer(Http::incoming_request&& request);
-    nlohmann::json rowsOf(const std::string& table, uint64_t after, bool withRemoved, const std::string& from, const std::string& to) const;
+    nlohmann::json selectRows(const std::string& table, uint64_t after, bool withRemoved, const std::string& from, const std::string& to) const;
     nlohmann::json transact(const nlohmann::json& body, int& status);
-    nlohmann::json stamped(nlohmann::json body) const;
+    nlohmann::json withVersionAndTime(nlohmann::json body) const;
 
     uint16_t m_port;
     mutable std::mutex m_mutex;
