--- a/Tests/Golden/Describe.cpp
+++ b/Tests/Golden/Describe.cpp
@@ -18,11 +18,11 @@
         return all;
     }
 
-    /// Long texts are shown by their length.
+    /// Replaces a long text by its size.
     std::string shorten(const std::string& text)
     {
-        constexpr size_t longestShown = 200;
-        return text.size() <= longestShown ? text : fmt::format("{} bytes", text.size());
+        constexpr size_t maxShownBytes = 200;
+        return text.size() <= maxShownBytes ? text : fmt::format("{} bytes", text.size());
     }
 
     std::string_view nameOf(Http::transfer_end end)
--- a/Tests/Golden/Describe.h
+++ b/Tests/Golden/Describe.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// One line of text for each message and action of the dispatch and configuration duties.
+/// Formats each message and action of the dispatch and configuration duties as one line of text. The golden files hold
+/// these lines, so a changed wording changes the files.
 
 #include "Configuration/VersionChain.h"
 #include "Dispatch/Dispatcher.h"
--- a/Tests/Golden/Main.cpp
+++ b/Tests/Golden/Main.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Plays all sessions and compares their text with the committed files; with --renew it writes the files.
+/// Plays all sessions and compares their text with the committed files; --renew rewrites the files first.
 
 #include "Golden/Sessions.h"
 
@@ -38,20 +38,20 @@
 
 int main(int argc, char** argv)
 {
-    const bool isRenewing = argc > 1 && std::string(argv[1]) == "--renew";
+    const bool shouldRewrite = argc > 1 && std::string(argv[1]) == "--renew";
     int failures = 0;
     for (const Golden::session& item : Golden::listSessions()) {
-        Golden::world scene;
-        item.play(scene);
+        Golden::simulated_cluster cluster;
+        item.play(cluster);
         const std::string path = std::string(GOLDEN_FOLDER) + "/" + item.name + ".golden";
-        if (isRenewing)
-            std::ofstream(path) << scene.text();
+        if (shouldRewrite)
+            std::ofstream(path) << cluster.text();
         const std::string expected = readFile(path);
-        if (expected == scene.text())
+        if (expected == cluster.text())
             continue;
         ++failures;
         std::cout << "session " << item.name << " differs from its file\n";
-        printFirstDifference(expected, scene.text());
+        printFirstDifference(expected, cluster.text());
     }
     std::cout << Golden::listSessions().size() << " sessions, " << failures << " differ\n";
     return failures == 0 ? 0 : 1;
--- a/Tests/Golden/Sessions.cpp
+++ b/Tests/Golden/Sessions.cpp
@@ -39,191 +39,191 @@
     attempt_ended cut(uint64_t attempt) { return { { attempt }, Http::transfer_end::Cut, 200, {}, {} }; }
     attempt_ended answered(uint64_t attempt) { return { { attempt }, Http::transfer_end::Complete, 200, "{\"run\":1}", {} }; }
 
-    void playSummaryServed(world& scene)
+    void playSummaryServed(simulated_cluster& cluster)
     {
-        scene.addNode("a");
-        scene.tell("a", summaryRequest(1));
-        scene.pass(milliseconds(40));
-        scene.tell("a", attempt_tokens { { 1 }, { "one ", "two " } });
-        scene.tell("a", caller_written { { 1 }, 8, true });
-        scene.pass(milliseconds(20));
-        scene.tell("a", attempt_tokens { { 1 }, { "three " } });
-        scene.tell("a", finished(1));
+        cluster.addNode("a");
+        cluster.deliver("a", summaryRequest(1));
+        cluster.advanceClock(milliseconds(40));
+        cluster.deliver("a", attempt_tokens { { 1 }, { "one ", "two " } });
+        cluster.deliver("a", caller_written { { 1 }, 8, true });
+        cluster.advanceClock(milliseconds(20));
+        cluster.deliver("a", attempt_tokens { { 1 }, { "three " } });
+        cluster.deliver("a", finished(1));
     }
 
-    void playEngineLostAndStillTalking(world& scene)
+    void playEngineLostAndStillTalking(simulated_cluster& cluster)
     {
-        scene.addNode("a");
-        scene.tell("a", summaryRequest(1));
-        scene.tell("a", attempt_tokens { { 1 }, { "one ", "two " } });
-        scene.remark("the engine stalls; the request goes on elsewhere from its position");
-        scene.pass(seconds(3));
-        scene.tell("a", dispatch_tick {});
-        scene.remark("the old attempt still talks: nobody hears it");
-        scene.tell("a", attempt_tokens { { 1 }, { "three-from-old " } });
-        scene.tell("a", finished(1));
-        scene.tell("a", attempt_tokens { { 2 }, { "three " } });
-        scene.tell("a", finished(2));
+        cluster.addNode("a");
+        cluster.deliver("a", summaryRequest(1));
+        cluster.deliver("a", attempt_tokens { { 1 }, { "one ", "two " } });
+        cluster.remark("the engine stalls; the request goes on elsewhere from its position");
+        cluster.advanceClock(seconds(3));
+        cluster.deliver("a", dispatch_tick {});
+        cluster.remark("the old attempt still talks: nobody hears it");
+        cluster.deliver("a", attempt_tokens { { 1 }, { "three-from-old " } });
+        cluster.deliver("a", finished(1));
+        cluster.deliver("a", attempt_tokens { { 2 }, { "three " } });
+        cluster.deliver("a", finished(2));
     }
 
-    void playCallerComesBack(world& scene)
+    void playCallerComesBack(simulated_cluster& cluster)
     {
-        scene.addNode("a");
-        scene.tell("a", summaryRequest(1));
-        scene.tell("a", attempt_tokens { { 1 }, { "one ", "two " } });
-        scene.tell("a", caller_written { { 1 }, 0, false });
-        scene.tell("a", attempt_tokens { { 1 }, { "three " } });
-        scene.pass(milliseconds(500));
-        scene.remark("another account may not have it");
-        scene.tell("a", caller_resume { { 2 }, { "other" }, { "a.1.1" }, 0, true });
-        scene.tell("a", caller_resume { { 3 }, { "depot-east" }, { "a.1.1" }, 1, true });
-        scene.tell("a", attempt_tokens { { 1 }, { "four " } });
-        scene.tell("a", finished(1));
+        cluster.addNode("a");
+        cluster.deliver("a", summaryRequest(1));
+        cluster.deliver("a", attempt_tokens { { 1 }, { "one ", "two " } });
+        cluster.deliver("a", caller_written { { 1 }, 0, false });
+        cluster.deliver("a", attempt_tokens { { 1 }, { "three " } });
+        cluster.advanceClock(milliseconds(500));
+        cluster.remark("another account may not have it");
+        cluster.deliver("a", caller_resume { { 2 }, { "other" }, { "a.1.1" }, 0, true });
+        cluster.deliver("a", caller_resume { { 3 }, { "depot-east" }, { "a.1.1" }, 1, true });
+        cluster.deliver("a", attempt_tokens { { 1 }, { "four " } });
+        cluster.deliver("a", finished(1));
     }
 
-    void playSlowCaller(world& scene)
+    void playSlowCaller(simulated_cluster& cluster)
     {
         constexpr size_t nearlyFull = 200 * 1024;
-        scene.addNode("a");
-        scene.tell("a", summaryRequest(1));
-        scene.tell("a", attempt_tokens { { 1 }, { std::string(nearlyFull, 'x') } });
-        scene.remark("the caller takes nothing: the engine's stream is paused, and the silence is no stall");
-        scene.tell("a", attempt_tokens { { 1 }, { std::string(nearlyFull, 'y') } });
-        scene.pass(seconds(10));
-        scene.tell("a", dispatch_tick {});
-        scene.tell("a", caller_written { { 1 }, nearlyFull, true });
-        scene.tell("a", caller_written { { 1 }, nearlyFull, true });
-        scene.tell("a", finished(1));
+        cluster.addNode("a");
+        cluster.deliver("a", summaryRequest(1));
+        cluster.deliver("a", attempt_tokens { { 1 }, { std::string(nearlyFull, 'x') } });
+        cluster.remark("the caller takes nothing: the engine's stream is paused, and the silence is no stall");
+        cluster.deliver("a", attempt_tokens { { 1 }, { std::string(nearlyFull, 'y') } });
+        cluster.advanceClock(seconds(10));
+        cluster.deliver("a", dispatch_tick {});
+        cluster.deliver("a", caller_written { { 1 }, nearlyFull, true });
+        cluster.deliver("a", caller_written { { 1 }, nearlyFull, true });
+        cluster.deliver("a", finished(1));
     }
 
-    void playHandover(world& scene)
+    void playHandover(simulated_cluster& cluster)
     {
-        scene.addNode("a");
-        scene.addNode("b");
-        scene.tell("a", summaryRequest(1));
-        scene.tell("a", attempt_tokens { { 1 }, { "one ", "two " } });
-        scene.tell("a", drain_begun {});
-        scene.tell("a", summaryRequest(2));
-        scene.tell("a", handover_begun {});
-        scene.remark("from the offer on the old engine's tokens reach nobody");
-        scene.tell("a", attempt_tokens { { 1 }, { "late " } });
-        scene.tell("b", transfer_offered { { "a" }, { { "a.1.1" }, { "depot-east" }, { "summary" }, summaryRequest(0).body, { "one ", "two " }, true } });
-        scene.tell("a", transfer_taken { { "a.1.1" }, "b:80" });
-        scene.tell("b", caller_resume { { 7 }, { "depot-east" }, { "a.1.1" }, 2, true });
-        scene.tell("b", attempt_tokens { { 1 }, { "three " } });
-        scene.tell("b", finished(1));
+        cluster.addNode("a");
+        cluster.addNode("b");
+        cluster.deliver("a", summaryRequest(1));
+        cluster.deliver("a", attempt_tokens { { 1 }, { "one ", "two " } });
+        cluster.deliver("a", drain_begun {});
+        cluster.deliver("a", summaryRequest(2));
+        cluster.deliver("a", handover_begun {});
+        cluster.remark("from the offer on the old engine's tokens reach nobody");
+        cluster.deliver("a", attempt_tokens { { 1 }, { "late " } });
+        cluster.deliver("b", transfer_offered { { "a" }, { { "a.1.1" }, { "depot-east" }, { "summary" }, summaryRequest(0).body, { "one ", "two " }, true } });
+        cluster.deliver("a", transfer_taken { { "a.1.1" }, "b:80" });
+        cluster.deliver("b", caller_resume { { 7 }, { "depot-east" }, { "a.1.1" }, 2, true });
+        cluster.deliver("b", attempt_tokens { { 1 }, { "three " } });
+        cluster.deliver("b", finished(1));
     }
 
-    void playOfferNobodyAnswers(world& scene)
+    void playOfferNobodyAnswers(simulated_cluster& cluster)
     {
-        scene.addNode("a");
-        scene.tell("a", summaryRequest(1));
-        scene.tell("a", attempt_tokens { { 1 }, { "one " } });
-        scene.tell("a", handover_begun {});
-        scene.pass(seconds(2));
-        scene.tell("a", dispatch_tick {});
-        scene.remark("the answer to the old offer comes too late: the request has gone on here");
-        scene.tell("a", transfer_taken { { "a.1.1" }, "b:80" });
-        scene.tell("a", attempt_tokens { { 2 }, { "two " } });
-        scene.tell("a", finished(2));
+        cluster.addNode("a");
+        cluster.deliver("a", summaryRequest(1));
+        cluster.deliver("a", attempt_tokens { { 1 }, { "one " } });
+        cluster.deliver("a", handover_begun {});
+        cluster.advanceClock(seconds(2));
+        cluster.deliver("a", dispatch_tick {});
+        cluster.remark("the answer to the old offer comes too late: the request has gone on here");
+        cluster.deliver("a", transfer_taken { { "a.1.1" }, "b:80" });
+        cluster.deliver("a", attempt_tokens { { 2 }, { "two " } });
+        cluster.deliver("a", finished(2));
     }
 
-    void playReleaseOnceAndReplayed(world& scene)
+    void playReleaseOnceAndReplayed(simulated_cluster& cluster)
     {
-        scene.addNode("a");
-        scene.addNode("b");
-        scene.tell("a", releaseRequest(1));
-        scene.tell("b", releaseRequest(2));
-        scene.tell("a", answered(1));
-        scene.tell("b", releaseRequest(3));
-        scene.tell("b", releaseRequest(4, "{\"other\":1}"));
+        cluster.addNode("a");
+        cluster.addNode("b");
+        cluster.deliver("a", releaseRequest(1));
+        cluster.deliver("b", releaseRequest(2));
+        cluster.deliver("a", answered(1));
+        cluster.deliver("b", releaseRequest(3));
+        cluster.deliver("b", releaseRequest(4, "{\"other\":1}"));
     }
 
-    void playClaimReplyLost(world& scene)
+    void playClaimReplyLost(simulated_cluster& cluster)
     {
-        scene.addNode("a");
-        scene.setTableFault(table_fault::ReplyLost);
-        scene.tell("a", releaseRequest(1));
-        scene.setTableFault(table_fault::None);
-        scene.tell("a", answered(1));
+        cluster.addNode("a");
+        cluster.setTableFault(table_fault::ReplyLost);
+        cluster.deliver("a", releaseRequest(1));
+        cluster.setTableFault(table_fault::None);
+        cluster.deliver("a", answered(1));
     }
 
-    void playNodeKilledAfterItsClaim(world& scene)
+    void playNodeKilledAfterItsClaim(simulated_cluster& cluster)
     {
-        scene.addNode("a");
-        scene.addNode("b");
-        scene.holdReplies(true);
-        scene.tell("a", releaseRequest(1));
-        scene.remark("the claim stands; whether it was sent nobody can know");
-        scene.kill("a");
-        scene.giveHeldReplies();
-        scene.tell("b", releaseRequest(2));
-        scene.pass(seconds(61));
-        scene.tell("b", releaseRequest(3));
+        cluster.addNode("a");
+        cluster.addNode("b");
+        cluster.holdReplies(true);
+        cluster.deliver("a", releaseRequest(1));
+        cluster.remark("the claim stands; whether it was sent nobody can know");
+        cluster.kill("a");
+        cluster.releaseHeldReplies();
+        cluster.deliver("b", releaseRequest(2));
+        cluster.advanceClock(seconds(61));
+        cluster.deliver("b", releaseRequest(3));
     }
 
-    void playNodePausedBetweenClaimAndSend(world& scene)
+    void playNodePausedBetweenClaimAndSend(simulated_cluster& cluster)
     {
-        scene.addNode("a");
-        scene.addNode("b");
-        scene.holdReplies(true);
-        scene.tell("a", releaseRequest(1));
-        scene.holdReplies(false);
-        scene.remark("a is paused; b is asked meanwhile, long after");
-        scene.pass(seconds(90));
-        scene.tell("b", releaseRequest(2));
-        scene.remark("a wakes and sends: still the only one");
-        scene.giveHeldReplies();
-        scene.tell("a", answered(1));
-        scene.tell("b", releaseRequest(3));
+        cluster.addNode("a");
+        cluster.addNode("b");
+        cluster.holdReplies(true);
+        cluster.deliver("a", releaseRequest(1));
+        cluster.holdReplies(false);
+        cluster.remark("a is paused; b is asked meanwhile, long after");
+        cluster.advanceClock(seconds(90));
+        cluster.deliver("b", releaseRequest(2));
+        cluster.remark("a wakes and sends: still the only one");
+        cluster.releaseHeldReplies();
+        cluster.deliver("a", answered(1));
+        cluster.deliver("b", releaseRequest(3));
     }
 
-    void playStoreDown(world& scene)
+    void playStoreDown(simulated_cluster& cluster)
     {
-        scene.addNode("a");
-        scene.setTableFault(table_fault::Down);
-        scene.tell("a", releaseRequest(1));
-        scene.setTableFault(table_fault::None);
-        scene.tell("a", releaseRequest(2));
-        scene.setTableFault(table_fault::Down);
-        scene.remark("the outcome is delivered though it can't be stored yet");
-        scene.tell("a", answered(1));
-        scene.pass(seconds(1));
-        scene.tell("a", dispatch_tick {});
-        scene.setTableFault(table_fault::None);
-        scene.pass(seconds(1));
-        scene.tell("a", dispatch_tick {});
-        scene.tell("a", releaseRequest(3));
+        cluster.addNode("a");
+        cluster.setTableFault(table_fault::Down);
+        cluster.deliver("a", releaseRequest(1));
+        cluster.setTableFault(table_fault::None);
+        cluster.deliver("a", releaseRequest(2));
+        cluster.setTableFault(table_fault::Down);
+        cluster.remark("the outcome is delivered though it can't be stored yet");
+        cluster.deliver("a", answered(1));
+        cluster.advanceClock(seconds(1));
+        cluster.deliver("a", dispatch_tick {});
+        cluster.setTableFault(table_fault::None);
+        cluster.advanceClock(seconds(1));
+        cluster.deliver("a", dispatch_tick {});
+        cluster.deliver("a", releaseRequest(3));
     }
 
-    void playClaimWrittenButUnconfirmed(world& scene)
+    void playClaimWrittenButUnconfirmed(simulated_cluster& cluster)
     {
-        scene.addNode("a");
-        scene.addNode("b");
-        scene.holdReplies(true);
-        scene.setTableFault(table_fault::ReplyLost);
-        scene.tell("a", releaseRequest(1));
-        scene.setTableFault(table_fault::Down);
-        scene.remark("the read back fails: refused as not run, which is true, though the claim stands");
-        scene.giveHeldReplies();
-        scene.setTableFault(table_fault::None);
-        scene.pass(seconds(1));
-        scene.tell("a", dispatch_tick {});
-        scene.remark("the claim is marked as not run: another node may take the call");
-        scene.tell("b", releaseRequest(2));
-        scene.tell("b", answered(1));
+        cluster.addNode("a");
+        cluster.addNode("b");
+        cluster.holdReplies(true);
+        cluster.setTableFault(table_fault::ReplyLost);
+        cluster.deliver("a", releaseRequest(1));
+        cluster.setTableFault(table_fault::Down);
+        cluster.remark("the read back fails: refused as not run, which is true, though the claim stands");
+        cluster.releaseHeldReplies();
+        cluster.setTableFault(table_fault::None);
+        cluster.advanceClock(seconds(1));
+        cluster.deliver("a", dispatch_tick {});
+        cluster.remark("the claim is marked as not run: another node may take the call");
+        cluster.deliver("b", releaseRequest(2));
+        cluster.deliver("b", answered(1));
     }
 
-    void playNotSentIsReleased(world& scene)
+    void playNotSentIsReleased(simulated_cluster& cluster)
     {
-        scene.addNode("a");
-        scene.addNode("b");
-        scene.tell("a", releaseRequest(1));
+        cluster.addNode("a");
+        cluster.addNode("b");
+        cluster.deliver("a", releaseRequest(1));
         for (uint64_t attempt = 1; attempt <= 3; ++attempt)
-            scene.tell("a", attempt_ended { { attempt }, Http::transfer_end::NotSent, 0, {}, {} });
-        scene.tell("b", releaseRequest(2));
-        scene.tell("b", cut(1));
-        scene.tell("a", releaseRequest(3));
+            cluster.deliver("a", attempt_ended { { attempt }, Http::transfer_end::NotSent, 0, {}, {} });
+        cluster.deliver("b", releaseRequest(2));
+        cluster.deliver("b", cut(1));
+        cluster.deliver("a", releaseRequest(3));
     }
 
     Configuration::proposal propose(uint64_t operatorToken, const std::string& token, const std::string& name)
@@ -236,25 +236,25 @@
         return item;
     }
 
-    void playTwoOperators(world& scene)
+    void playTwoOperators(simulated_cluster& cluster)
     {
-        scene.addNode("a");
-        scene.addNode("b");
-        scene.tellChain("a", propose(1, "first", "summary"));
-        scene.remark("b has not heard of it yet");
-        scene.tellChain("b", propose(2, "second", "summary"));
-        scene.tellChain("b", propose(3, "third", "quote"));
-        scene.tellChain("a", Configuration::chain_tick {});
+        cluster.addNode("a");
+        cluster.addNode("b");
+        cluster.deliverToChain("a", propose(1, "first", "summary"));
+        cluster.remark("b has not heard of it yet");
+        cluster.deliverToChain("b", propose(2, "second", "summary"));
+        cluster.deliverToChain("b", propose(3, "third", "quote"));
+        cluster.deliverToChain("a", Configuration::chain_tick {});
     }
 
-    void playAcceptedThroughALostReply(world& scene)
+    void playAcceptedThroughALostReply(simulated_cluster& cluster)
     {
-        scene.addNode("a");
-        scene.setTableFault(table_fault::ReplyLost);
-        scene.tellChain("a", propose(1, "first", "summary"));
-        scene.setTableFault(table_fault::Down);
+        cluster.addNode("a");
+        cluster.setTableFault(table_fault::ReplyLost);
+        cluster.deliverToChain("a", propose(1, "first", "summary"));
+        cluster.setTableFault(table_fault::Down);
         for (int tries = 0; tries < 4; ++tries)
-            scene.tellChain("a", tries == 0 ? Configuration::chain_message(propose(2, "second", "quote")) : Configuration::chain_message(Configuration::chain_tick {}));
+            cluster.deliverToChain("a", tries == 0 ? Configuration::chain_message(propose(2, "second", "quote")) : Configuration::chain_message(Configuration::chain_tick {}));
     }
 
 } // namespace
--- a/Tests/Golden/Sessions.h
+++ b/Tests/Golden/Sessions.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The sessions whose text is compared with committed files.
+/// The sessions whose text is compared with the committed files.
 
 #include "Golden/World.h"
 
@@ -11,8 +11,8 @@
 namespace Golden {
 
 struct session {
-    std::string name;
-    void (*play)(world&);
+    std::string name; ///< Also the name of its file, without the ending.
+    void (*play)(simulated_cluster&);
 };
 
 /// @return all sessions, in the order of their names.
--- a/Tests/Golden/World.cpp
+++ b/Tests/Golden/World.cpp
@@ -9,7 +9,7 @@
 namespace {
 
     constexpr Common::instant epoch = Common::instant {} + std::chrono::hours(1);
-    constexpr int64_t wallEpoch = 1800000000000;
+    constexpr int64_t wallEpochMs = 1800000000000;
 
     Endpoints::instance_info makeInstance(const std::string& id, const std::string& service)
     {
@@ -31,7 +31,7 @@
 
 } // namespace
 
-void world::addNode(const std::string& name)
+void simulated_cluster::addNode(const std::string& name)
 {
     Dispatch::dispatch_state state;
     state.settings.node = { name };
@@ -49,70 +49,70 @@
     m_chains[name] = {};
 }
 
-void world::line(const std::string& node, std::string_view arrow, const std::string& text)
+void simulated_cluster::appendLine(const std::string& node, std::string_view arrow, const std::string& text)
 {
     m_text += fmt::format("{:>6} {} {} {}\n", m_now.count(), node, arrow, text);
 }
 
-void world::remark(const std::string& text)
+void simulated_cluster::remark(const std::string& text)
 {
     m_text += "# " + text + "\n";
 }
 
-void world::pass(std::chrono::milliseconds time)
+void simulated_cluster::advanceClock(std::chrono::milliseconds time)
 {
     m_now += time;
 }
 
-void world::kill(const std::string& node)
+void simulated_cluster::kill(const std::string& node)
 {
     remark(node + " is killed");
     m_nodes.erase(node);
     m_chains.erase(node);
 }
 
-void world::tell(const std::string& node, Dispatch::dispatch_message message)
+void simulated_cluster::deliver(const std::string& node, Dispatch::dispatch_message message)
 {
     const auto found = m_nodes.find(node);
     if (found == m_nodes.end())
         return;
-    line(node, "<-", describe(message));
-    const Dispatch::clock_reading clock { epoch + m_now, { wallEpoch + m_now.count() } };
+    appendLine(node, "<-", describe(message));
+    const Dispatch::clock_reading clock { epoch + m_now, { wallEpochMs + m_now.count() } };
     for (const Dispatch::dispatch_action& action : stepDispatch(found->second, std::move(message), clock)) {
-        line(node, "->", describe(action));
-        perform(node, action);
+        appendLine(node, "->", describe(action));
+        performTableAction(node, action);
     }
 }
 
-void world::reply(const std::string& node, Dispatch::dispatch_message message)
+void simulated_cluster::reply(const std::string& node, Dispatch::dispatch_message message)
 {
     if (m_isHeld)
         m_held.push_back({ node, std::move(message) });
     else
-        tell(node, std::move(message));
+        deliver(node, std::move(message));
 }
 
-void world::giveHeldReplies()
+void simulated_cluster::releaseHeldReplies()
 {
     m_isHeld = false;
     for (held_reply& item : std::exchange(m_held, {}))
-        tell(item.node, std::move(item.message));
+        deliver(item.node, std::move(item.message));
 }
 
-Platform::table_outcome world::put(const Platform::table_put& put)
+Platform::table_outcome simulated_cluster::put(const Platform::table_put& put)
 {
     if (m_fault == table_fault::Down)
         return Platform::table_outcome::Unavailable;
     const auto row = m_rows.find(rowName(put.row.key));
     const bool isAbsent = row == m_rows.end();
-    const bool isMet = put.condition == Platform::put_condition::Absent ? isAbsent : !isAbsent && row->second.version == put.expectedVersion;
-    if (!isMet)
+    const bool isConditionMet = put.condition == Platform::put_condition::Absent ? isAbsent : !isAbsent && row->second.version == put.expectedVersion;
+    if (!isConditionMet)
         return Platform::table_outcome::ConditionFailed;
     m_rows[rowName(put.row.key)] = put.row;
     return m_fault == table_fault::ReplyLost ? Platform::table_outcome::Unknown : Platform::table_outcome::Done;
 }
 
-void world::perform(const std::string& node, const Dispatch::dispatch_action& action)
+void simulated_cluster::performTableAction(const std::string& node, const Dispatch::dispatch_action& action)
 {
     if (const auto* write = std::get_if<Dispatch::write_record>(&action))
         reply(node, Dispatch::record_reply { write->request, write->step, { put(write->put), {} } });
@@ -129,29 +129,29 @@
     reply(node, Dispatch::record_reply { read->request, read->step, std::move(answer) });
 }
 
-void world::tellChain(const std::string& node, Configuration::chain_message message)
+void simulated_cluster::deliverToChain(const std::string& node, Configuration::chain_message message)
 {
     const auto found = m_chains.find(node);
     if (found == m_chains.end())
         return;
-    line(node, "<-", describe(message));
+    appendLine(node, "<-", describe(message));
     for (const Configuration::chain_action& action : stepChain(found->second, std::move(message), epoch + m_now)) {
-        line(node, "->", describe(action));
-        performChain(node, action);
+        appendLine(node, "->", describe(action));
+        performChainAction(node, action);
     }
 }
 
-void world::performChain(const std::string& node, const Configuration::chain_action& action)
+void simulated_cluster::performChainAction(const std::string& node, const Configuration::chain_action& action)
 {
     if (const auto* write = std::get_if<Configuration::write_change>(&action)) {
         Platform::table_put item;
         item.row = { { "config", Common::zeroPadded(write->item.version.value) }, 1, encodeChange(write->item) };
         item.condition = Platform::put_condition::Absent;
-        tellChain(node, Configuration::write_done { write->item.token, put(item) });
+        deliverToChain(node, Configuration::write_done { write->item.token, put(item) });
     }
     if (std::holds_alternative<Configuration::read_snapshot>(action)) {
         const auto outcome = m_fault == table_fault::Down ? Platform::table_outcome::Unavailable : Platform::table_outcome::Done;
-        tellChain(node, Configuration::snapshot_read { outcome, std::nullopt });
+        deliverToChain(node, Configuration::snapshot_read { outcome, std::nullopt });
     }
     const auto* read = std::get_if<Configuration::read_changes>(&action);
     if (!read)
@@ -162,7 +162,7 @@
         if (rows.outcome == Platform::table_outcome::Done)
             rows.changes.push_back(*Configuration::decodeChange(row->second.body));
     }
-    tellChain(node, std::move(rows));
+    deliverToChain(node, std::move(rows));
 }
 
 } // namespace Golden
--- a/Tests/Golden/World.h
+++ b/Tests/Golden/World.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Nodes' decisions on a virtual clock with a table in memory, and the text of everything they said.
+/// Simulated nodes on a virtual clock with a table in memory, and the text of their messages and actions.
 
 #include "Golden/Describe.h"
 
@@ -10,30 +10,32 @@
 
 namespace Golden {
 
-/// What the table does with the next writes.
+/// How the table fails until the next setTableFault().
 enum class table_fault {
     None,
-    ReplyLost, ///< Takes effect, the reply says Unknown.
-    Down,
+    ReplyLost, ///< Writes take effect, but their outcome is Unknown.
+    Down, ///< Reads and writes fail as Unavailable without effect.
 };
 
-class world {
+class simulated_cluster {
 public:
-    /// Adds a node with two engines and one ledger in its list.
+    /// Adds a node that knows two engines and one ledger service.
     void addNode(const std::string& name);
-    /// Gives a node a message and performs what it asks of the table at once.
-    void tell(const std::string& node, Dispatch::dispatch_message message);
-    /// Gives a node's chain a message; table work is performed at once.
-    void tellChain(const std::string& node, Configuration::chain_message message);
-    /// Moves the virtual clock.
-    void pass(std::chrono::milliseconds time);
-    /// Writes a remark into the session's text.
+    /// Delivers a message to a node's dispatcher and performs the resulting table operations at once. Ignored when the
+    /// node was killed.
+    void deliver(const std::string& node, Dispatch::dispatch_message message);
+    /// Delivers a message to a node's configuration chain and performs the resulting table operations at once.
+    void deliverToChain(const std::string& node, Configuration::chain_message message);
+    /// Advances the virtual clock.
+    void advanceClock(std::chrono::milliseconds time);
+    /// Adds a comment line to the session's text.
     void remark(const std::string& text);
-    /// Forgets a node: it was killed.
+    /// Removes a node, as if its process were killed.
     void kill(const std::string& node);
-    /// Keeps the table's replies to a node back, as if the node were paused.
+    /// Holds back the table's replies, as if the nodes were paused.
     void holdReplies(bool isHeld) { m_isHeld = isHeld; }
-    void giveHeldReplies();
+    /// Delivers the replies held back and stops holding.
+    void releaseHeldReplies();
 
     void setTableFault(table_fault fault) { m_fault = fault; }
     const std::string& text() const { return m_text; }
@@ -44,9 +46,9 @@
         Dispatch::dispatch_message message;
     };
 
-    void line(const std::string& node, std::string_view arrow, const std::string& text);
-    void perform(const std::string& node, const Dispatch::dispatch_action& action);
-    void performChain(const std::string& node, const Configuration::chain_action& action);
+    void appendLine(const std::string& node, std::string_view arrow, const std::string& text);
+    void performTableAction(const std::string& node, const Dispatch::dispatch_action& action);
+    void performChainAction(const std::string& node, const Configuration::chain_action& action);
     Platform::table_outcome put(const Platform::table_put& put);
     void reply(const std::string& node, Dispatch::dispatch_message message);
 
