--- a/Tests/Promises/CallsTest.cpp
+++ b/Tests/Promises/CallsTest.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// A crate release runs at most once, and "not run" is true.
+/// A call of a service that is not idempotent (a crate release) runs at most once, and "not_run" is answered only for
+/// calls that did not run.
 
 #include "Harness/Callers.h"
 
@@ -12,7 +13,7 @@
 
 using namespace Harness;
 
-constexpr int manyTries = 8;
+constexpr int maxTries = 8;
 
 cluster_settings makeSettings()
 {
@@ -42,13 +43,13 @@
 TEST(Calls, ARepeatAtAnotherNodeGetsTheStoredOutcome)
 {
     const call_result first = releaseCrates(target, "k", "{}", 1, 1);
-    const call_result second = releaseCrates(target, "k", "{}", 2, manyTries);
+    const call_result second = releaseCrates(target, "k", "{}", 2, maxTries);
     LONGS_EQUAL(200, first.status);
     LONGS_EQUAL(200, second.status);
     LONGS_EQUAL(1, runsOf("k"));
 }
 
-TEST(Calls, TheSameKeyAtThreeNodesAtTheSameMoment)
+TEST(Calls, TheSameKeySentToThreeNodesAtOnceRunsOnce)
 {
     target.control(target.ledgerUrl(1), { { "delay_ms", 300 } });
     for (int round = 0; round < 5; ++round) {
@@ -74,14 +75,14 @@
     LONGS_EQUAL(1, runsOf("k"));
 }
 
-TEST(Calls, TheStoreLosesTheReplyOfTheClaim)
+TEST(Calls, ACallRunsOnceWhenTheStoreLosesTheReplyToItsClaim)
 {
     target.control(target.tableUrl(), { { "lose_replies", 1 } });
     LONGS_EQUAL(200, releaseCrates(target, "k", "{}", 1, 1).status);
     LONGS_EQUAL(1, runsOf("k"));
 }
 
-TEST(Calls, TheStoreIsDownBefore)
+TEST(Calls, ACallIsRefusedAsNotRunWhileTheStoreIsDown)
 {
     target.control(target.tableUrl(), { { "down", true } });
     const call_result refused = releaseCrates(target, "k", "{}", 1, 1);
@@ -89,18 +90,18 @@
     STRCMP_EQUAL("not_run", refused.run.c_str());
     LONGS_EQUAL(0, runsOf("k"));
     target.control(target.tableUrl(), { { "down", false } });
-    LONGS_EQUAL(200, releaseCrates(target, "k", "{}", 2, manyTries).status);
+    LONGS_EQUAL(200, releaseCrates(target, "k", "{}", 2, maxTries).status);
     LONGS_EQUAL(1, runsOf("k"));
 }
 
-TEST(Calls, TheStoreGoesDownBetweenClaimAndOutcome)
+TEST(Calls, AnOutcomeIsDeliveredWhileTheStoreIsDownAndReplayedAfterwards)
 {
     target.control(target.ledgerUrl(1), { { "delay_ms", 600 } });
     std::thread outage([this] {
         std::this_thread::sleep_for(std::chrono::milliseconds(300));
         target.control(target.tableUrl(), { { "down", true } });
     });
-    // The outcome can't be stored yet, and is delivered all the same.
+    // The outcome cannot be stored yet, but the caller still gets it.
     LONGS_EQUAL(200, releaseCrates(target, "k", "{}", 1, 1).status);
     outage.join();
     target.control(target.tableUrl(), { { "down", false } });
@@ -109,7 +110,7 @@
     LONGS_EQUAL(1, runsOf("k"));
 }
 
-TEST(Calls, TheCallIsCutBeforeAndAfterItRan)
+TEST(Calls, ACallCutBeforeOrAfterItRanIsUnknownAndNotSentAgain)
 {
     struct row {
         const char* fault;
@@ -118,11 +119,11 @@
     const row rows[] = { { "cut_before", 0 }, { "cut_after", 1 } };
     for (const row& item : rows) {
         target.control(target.ledgerUrl(1), { { item.fault, 1 } });
-        const call_result result = releaseCrates(target, item.fault, "{}", 1, manyTries);
+        const call_result result = releaseCrates(target, item.fault, "{}", 1, maxTries);
         STRCMP_EQUAL("outcome_unknown", result.code.c_str());
         STRCMP_EQUAL("unknown", result.run.c_str());
-        // No node sends it again, whoever asks.
-        STRCMP_EQUAL("outcome_unknown", releaseCrates(target, item.fault, "{}", 2, manyTries).code.c_str());
+        // No node sends the call again, also not for a repeat at another node.
+        STRCMP_EQUAL("outcome_unknown", releaseCrates(target, item.fault, "{}", 2, maxTries).code.c_str());
         LONGS_EQUAL(item.runs, runsOf(item.fault));
     }
 }
@@ -139,21 +140,21 @@
     LONGS_EQUAL(1, runsOf("k"));
 }
 
-TEST(Calls, ANodeKilledWhileTheCallIsAtTheLedger)
+TEST(Calls, ACallIsUnknownWhenItsNodeIsKilledWhileItRuns)
 {
     target.control(target.ledgerUrl(1), { { "delay_ms", 500 } });
     std::thread kill([this] {
         std::this_thread::sleep_for(std::chrono::milliseconds(250));
         killProcess(target.node(1));
     });
-    constexpr int onceAtEachNode = 3;
-    const call_result result = releaseCrates(target, "k", "{}", 1, onceAtEachNode);
+    constexpr int oneTryAtEachNode = 3;
+    const call_result result = releaseCrates(target, "k", "{}", 1, oneTryAtEachNode);
     kill.join();
     CHECK(result.run == "unknown");
     CHECK(runsOf("k") <= 1);
 }
 
-TEST(Calls, ANodeFrozenWithItsClaimAndWoken)
+TEST(Calls, ANodePausedAfterItsClaimRunsTheCallAtMostOnce)
 {
     target.control(target.tableUrl(), { { "delay_ms", 300 } });
     std::thread freeze([this] {
@@ -176,7 +177,7 @@
     std::thread stop([this] {
         std::this_thread::sleep_for(std::chrono::milliseconds(300));
         signalProcess(target.node(1), SIGTERM);
-        // A second signal hastens, and cuts nothing.
+        // A second signal must not cut the call either.
         std::this_thread::sleep_for(std::chrono::milliseconds(300));
         signalProcess(target.node(1), SIGTERM);
     });
@@ -189,7 +190,7 @@
     LONGS_EQUAL(1, runsOf("k"));
 }
 
-TEST(Calls, ACallerMayKeepTheOldAddressForItsTimeToLive)
+TEST(Calls, ALeavingNodeServesUntilItsAddressExpires)
 {
     signalProcess(target.node(1), SIGTERM);
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
--- a/Tests/Promises/ConfigurationTest.cpp
+++ b/Tests/Promises/ConfigurationTest.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// An accepted configuration is in force everywhere within seconds and never reverts.
+/// An accepted configuration change is in force at all nodes within the time limit and is never reverted.
 
 #include "Harness/Cluster.h"
 
@@ -13,7 +13,7 @@
 using namespace Harness;
 using nlohmann::json;
 
-constexpr int secondsAllowed = 13000;
+constexpr int waitLimitMs = 13000;
 
 cluster_settings makeSettings()
 {
@@ -23,9 +23,9 @@
     return settings;
 }
 
-json makeClass(const std::string& name, int target)
+json makeClass(const std::string& name, int firstTokenMs)
 {
-    return { { "kind", "class" }, { "body", { { "name", name }, { "work", "model" }, { "service", "m" }, { "first_token_ms", target } } } };
+    return { { "kind", "class" }, { "body", { { "name", name }, { "work", "model" }, { "service", "m" }, { "first_token_ms", firstTokenMs } } } };
 }
 
 } // namespace
@@ -40,10 +40,10 @@
 TEST(ConfigurationInForce, AChangeReachesAllNodes)
 {
     LONGS_EQUAL(200, target.propose(2, makeClass("new", 500)).status);
-    CHECK(target.waitForVersion(5, secondsAllowed));
+    CHECK(target.waitForVersion(5, waitLimitMs));
 }
 
-TEST(ConfigurationInForce, OfTwoOperatorsOnTheSameObjectOneIsTold)
+TEST(ConfigurationInForce, OfTwoConcurrentChangesToOneObjectOneIsRefusedWithTheConflict)
 {
     json first = makeClass("same", 500);
     json second = makeClass("same", 600);
@@ -55,51 +55,51 @@
     left.join();
     right.join();
     LONGS_EQUAL(200 + 409, answers[0].status + answers[1].status);
-    const http_answer& loser = answers[0].status == 409 ? answers[0] : answers[1];
-    LONGS_EQUAL_TEXT(1, json::parse(loser.body)["changed_meanwhile"].size(), loser.body.c_str());
+    const http_answer& refusedAnswer = answers[0].status == 409 ? answers[0] : answers[1];
+    LONGS_EQUAL_TEXT(1, json::parse(refusedAnswer.body)["changed_meanwhile"].size(), refusedAnswer.body.c_str());
 }
 
-TEST(ConfigurationInForce, TheReplyOfTheStoreIsLost)
+TEST(ConfigurationInForce, AChangeIsAcceptedOnceWhenTheStoreLosesItsReply)
 {
     target.control(target.tableUrl(), { { "lose_replies", 1 } });
     LONGS_EQUAL(200, target.propose(1, makeClass("new", 500)).status);
-    CHECK(target.waitForVersion(5, secondsAllowed));
+    CHECK(target.waitForVersion(5, waitLimitMs));
     CHECK(target.configurationVersion(1) == 5);
 }
 
-TEST(ConfigurationInForce, TheStoreIsDownRightAfterAcceptance)
+TEST(ConfigurationInForce, AnAcceptedChangeReachesAllNodesWhileTheStoreIsDown)
 {
     LONGS_EQUAL(200, target.propose(1, makeClass("new", 500)).status);
     target.control(target.tableUrl(), { { "down", true } });
-    CHECK(target.waitForVersion(5, secondsAllowed));
+    CHECK(target.waitForVersion(5, waitLimitMs));
     const http_answer refused = target.propose(1, makeClass("other", 500));
     LONGS_EQUAL(503, refused.status);
     STRCMP_EQUAL("not_run", json::parse(refused.body)["error"]["run"].get<std::string>().c_str());
 }
 
-TEST(ConfigurationInForce, ANodeStartedInAnOutageLearnsFromItsPeers)
+TEST(ConfigurationInForce, ANodeStartedInAStoreOutageGetsTheConfigurationFromItsPeers)
 {
     killProcess(target.node(3));
     target.control(target.tableUrl(), { { "down", true } });
     target.startNode(3);
-    CHECK(target.waitForVersion(4, secondsAllowed));
+    CHECK(target.waitForVersion(4, waitLimitMs));
 }
 
-TEST(ConfigurationInForce, AFrozenNodeCatchesUpAndNobodyReverts)
+TEST(ConfigurationInForce, APausedNodeCatchesUpAndNoNodeReverts)
 {
     signalProcess(target.node(3), SIGSTOP);
     for (int change = 0; change < 5; ++change)
         LONGS_EQUAL(200, target.propose(1, makeClass("new", 500 + change)).status);
     signalProcess(target.node(3), SIGCONT);
-    CHECK(target.waitForVersion(9, secondsAllowed));
+    CHECK(target.waitForVersion(9, waitLimitMs));
 }
 
-TEST(ConfigurationInForce, AllNodesReplacedOneByOne)
+TEST(ConfigurationInForce, AChangeStaysInForceWhileAllNodesAreReplaced)
 {
     LONGS_EQUAL(200, target.propose(1, makeClass("new", 500)).status);
     for (int number = 1; number <= 3; ++number) {
         killProcess(target.node(number));
         target.startNode(number);
-        CHECK(target.waitForVersion(5, secondsAllowed));
+        CHECK(target.waitForVersion(5, waitLimitMs));
     }
 }
--- a/Tests/Promises/InputTest.cpp
+++ b/Tests/Promises/InputTest.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Bad input gets a typed answer, and the node goes on.
+/// Invalid input gets an answer with an error code, and the node keeps serving.
 
 #include "Harness/Callers.h"
 
@@ -27,7 +27,7 @@
     return settings;
 }
 
-/// A connection that sends some bytes by hand.
+/// A TCP connection that sends raw bytes, also incomplete requests.
 class raw_connection {
 public:
     explicit raw_connection(int port)
@@ -47,13 +47,14 @@
         static_cast<void>(!write(m_socket, bytes.data(), bytes.size()));
     }
 
-    /// @return whether the node ends the connection within some seconds.
-    bool isEnded() const
+    /// Waits up to ten seconds.
+    /// @return whether the node closed the connection.
+    bool isClosedByNode() const
     {
-        constexpr int longestWait = 10000;
+        constexpr int waitLimitMs = 10000;
         pollfd waiting { m_socket, POLLIN, 0 };
         char byte = 0;
-        return poll(&waiting, 1, longestWait) == 1 && read(m_socket, &byte, 1) <= 0;
+        return poll(&waiting, 1, waitLimitMs) == 1 && read(m_socket, &byte, 1) <= 0;
     }
 
 private:
@@ -69,7 +70,7 @@
     void setup() override { target.start(); }
 };
 
-TEST(Input, EachMistakeHasItsCode)
+TEST(Input, EachInvalidRequestGetsItsErrorCode)
 {
     struct row {
         const char* method;
@@ -79,10 +80,10 @@
         int status;
         const char* code;
     };
-    const std::string good = R"({"model":"inspection-summary","max_tokens":2,"messages":[{"role":"user","content":"x"}]})";
+    const std::string validBody = R"({"model":"inspection-summary","max_tokens":2,"messages":[{"role":"user","content":"x"}]})";
     const row rows[] = {
-        { "POST", "/v1/chat/completions", good, true, 200, "" },
-        { "POST", "/v1/chat/completions", good, false, 401, "unauthorized" },
+        { "POST", "/v1/chat/completions", validBody, true, 200, "" },
+        { "POST", "/v1/chat/completions", validBody, false, 401, "unauthorized" },
         { "POST", "/v1/chat/completions", "{\"model\":", true, 400, "malformed_request" },
         { "POST", "/v1/chat/completions", "[]", true, 400, "malformed_request" },
         { "POST", "/v1/chat/completions", R"({"model":"inspection-summary","messages":[]})", true, 400, "malformed_request" },
@@ -107,7 +108,7 @@
     }
 }
 
-TEST(Input, AnOversizedBodyIsCutOffAndTheNodeGoesOn)
+TEST(Input, AnOversizedBodyIsRefusedAndTheNodeKeepsServing)
 {
     const std::string body(100000, 'x');
     const http_answer answer = call("POST", target.nodeUrl(1) + "/v1/chat/completions", body, { { "Authorization", "Bearer " + target.accountKey() } });
@@ -115,17 +116,17 @@
     LONGS_EQUAL(200, call("GET", target.nodeUrl(1) + "/healthz", "").status);
 }
 
-TEST(Input, SendersThatStopInTheMiddleAreCutOffAndTheNodeGoesOn)
+TEST(Input, IncompleteRequestsAreDisconnectedAndTheNodeKeepsServing)
 {
-    const char* beginnings[] = {
+    const char* partialRequests[] = {
         "",
         "POST /v1/chat/comp",
         "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 1000\r\n\r\n{\"mod",
     };
-    for (const char* bytes : beginnings) {
+    for (const char* bytes : partialRequests) {
         const raw_connection slow(target.settings().basePort + 101);
         slow.send(bytes);
-        CHECK(slow.isEnded());
+        CHECK(slow.isClosedByNode());
         LONGS_EQUAL(200, call("GET", target.nodeUrl(1) + "/healthz", "").status);
     }
 }
@@ -135,10 +136,10 @@
     const stream_request request { "a prompt that nobody should find in a log", 3, 1, 10000, {} };
     const stream_result result = streamChat(target, request);
     releaseCrates(target, "k", "{}", 1, 1);
-    // Lines are written in batches by a thread of their own: they are there a moment after the answer.
-    constexpr int longestLooks = 100;
+    // A separate thread writes log lines in batches, so they appear shortly after the answer.
+    constexpr int maxPolls = 100;
     std::string log;
-    for (int looks = 0; looks < longestLooks && (log.find(result.requestId) == std::string::npos || !log.ends_with('\n')); ++looks) {
+    for (int polls = 0; polls < maxPolls && (log.find(result.requestId) == std::string::npos || !log.ends_with('\n')); ++polls) {
         std::this_thread::sleep_for(std::chrono::milliseconds(50));
         log = target.logText("node-1");
     }
@@ -156,13 +157,13 @@
     CHECK(hasRequest);
 }
 
-TEST(Input, BadSettingsAreAllNamedAtOnceAndEndTheProgram)
+TEST(Input, AllInvalidSettingsAreReportedAtOnceAndTheProgramExits)
 {
     constexpr int exitBadSettings = 2;
-    constexpr int longestWait = 5000;
+    constexpr int waitLimitMs = 5000;
     const std::string log = "/tmp/filbertreel-settings-" + std::to_string(getpid()) + ".log";
     process child = startProcess({ NODE_PROGRAM, "--node", "a.b", "--http-listen", "localhost:80", "--policy", "dearest", "--notice", "0" }, { "FILBERTREEL_MAX_IN_FLIGHT=0" }, log);
-    LONGS_EQUAL(exitBadSettings, waitForExit(child, longestWait));
+    LONGS_EQUAL(exitBadSettings, waitForExit(child, waitLimitMs));
     std::ostringstream text;
     text << std::ifstream(log).rdbuf();
     unlink(log.c_str());
@@ -170,7 +171,7 @@
         CHECK_TEXT(text.str().find(std::string("  ") + setting + ":") != std::string::npos, setting);
 }
 
-TEST(Input, AProposalWithMistakesNamesThemAll)
+TEST(Input, AnInvalidProposalIsAnsweredWithAllItsErrors)
 {
     const http_answer answer = target.propose(1, { { "kind", "class" }, { "body", { { "name", "" }, { "priority", 99 } } } });
     LONGS_EQUAL(400, answer.status);
--- a/Tests/Promises/NodesTest.cpp
+++ b/Tests/Promises/NodesTest.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Membership between real nodes: death, return, leaving.
+/// Membership between real nodes: failure detection, rejoining and leaving.
 
 #include "Harness/Cluster.h"
 
@@ -12,7 +12,7 @@
 
 using namespace Harness;
 
-constexpr int secondsAllowed = 30000;
+constexpr int waitLimitMs = 30000;
 
 cluster_settings makeSettings()
 {
@@ -33,26 +33,28 @@
 
     void setup() override { target.start(); }
 
-    std::string statusAt(int number, int of) const
+    /// @return the status of one node as another one sees it; empty without an answer, "unknown" when it is not listed.
+    std::string statusAt(int observer, int member) const
     {
-        const auto page = target.status(number);
+        const auto page = target.status(observer);
         if (!page.is_object())
             return "";
         for (const auto& item : page["members"]) {
-            if (item["node"] == "node-" + std::to_string(of))
+            if (item["node"] == "node-" + std::to_string(member))
                 return item["status"];
         }
         return "unknown";
     }
 
-    bool waitForStatus(int of, const std::string& status) const
+    /// @return whether all other nodes saw the status within the time limit.
+    bool waitForStatus(int member, const std::string& status) const
     {
-        const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(secondsAllowed);
+        const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(waitLimitMs);
         while (std::chrono::steady_clock::now() < end) {
-            bool isEverywhere = true;
+            bool isSeenByAll = true;
             for (int number = 1; number <= 4; ++number)
-                isEverywhere = isEverywhere && (number == of || statusAt(number, of) == status);
-            if (isEverywhere)
+                isSeenByAll = isSeenByAll && (number == member || statusAt(number, member) == status);
+            if (isSeenByAll)
                 return true;
             std::this_thread::sleep_for(std::chrono::milliseconds(100));
         }
@@ -69,7 +71,7 @@
     CHECK(waitForStatus(3, "alive"));
 }
 
-TEST(Nodes, AFrozenNodeDeclaredDeadComesBackByItself)
+TEST(Nodes, ANodeDeclaredDeadWhilePausedRejoinsOnItsOwn)
 {
     CHECK(waitForStatus(2, "alive"));
     signalProcess(target.node(2), SIGSTOP);
@@ -80,15 +82,15 @@
         CHECK(statusAt(2, number) == "alive");
 }
 
-TEST(Nodes, ANodeThatHearsNoPeerStillGetsChangesAndComesBack)
+TEST(Nodes, ANodeCutOffFromItsPeersGetsChangesAndRejoins)
 {
-    constexpr int inForceEverywhere = 13000;
+    constexpr int changeWaitLimitMs = 13000;
     CHECK(waitForStatus(3, "alive"));
     killProcess(target.relay(3));
     const nlohmann::json item { { "name", "during-the-cut" }, { "service", "m" } };
     LONGS_EQUAL(200, target.propose(1, { { "kind", "class" }, { "body", item } }).status);
-    CHECK(target.waitForVersion(5, inForceEverywhere));
-    // Long enough for node 3 to think the others dead; they must not believe it of each other.
+    CHECK(target.waitForVersion(5, changeWaitLimitMs));
+    // Long enough for node 3 to declare the others dead; they must not take this over from node 3.
     std::this_thread::sleep_for(std::chrono::milliseconds(12000));
     CHECK(statusAt(1, 2) == "alive" && statusAt(2, 4) == "alive" && statusAt(4, 1) == "alive");
     target.startRelay(3);
@@ -96,12 +98,12 @@
         CHECK(waitForStatus(number, "alive"));
 }
 
-TEST(Nodes, ASideThatIsCutOffAsAWholeComesTogetherAgain)
+TEST(Nodes, NodesAllCutOffFromEachOtherServeAndRejoin)
 {
     CHECK(waitForStatus(3, "alive"));
     for (int number = 1; number <= 4; ++number)
         killProcess(target.relay(number));
-    // Nobody hears anybody: every node is alone, serves, and takes changes from the table.
+    // No node reaches another: each one serves alone and reads configuration changes from the table.
     std::this_thread::sleep_for(std::chrono::milliseconds(12000));
     CHECK(statusAt(1, 2) == "dead");
     const nlohmann::json item { { "name", "alone" }, { "service", "m" } };
@@ -113,7 +115,7 @@
         CHECK(waitForStatus(number, "alive"));
 }
 
-TEST(Nodes, ALeavingNodeDropsOutOfTheAddressAnswersAtOnce)
+TEST(Nodes, ALeavingNodeIsNoLongerListedInAddressAnswers)
 {
     CHECK(waitForStatus(1, "alive"));
     signalProcess(target.node(1), SIGTERM);
--- a/Tests/Promises/RolloutTest.cpp
+++ b/Tests/Promises/RolloutTest.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// A new version between real nodes: a good one takes over before its deadline, a bad one is taken back after few requests.
+/// The rollout of a new version between real nodes: a healthy version takes over before its deadline, a failing one is
+/// taken back after few requests.
 
 #include "Harness/Callers.h"
 
@@ -13,8 +14,8 @@
 using namespace Harness;
 using nlohmann::json;
 
-constexpr int planMilliseconds = 30000;
-constexpr int callers = 6;
+constexpr int rolloutPeriodMs = 30000;
+constexpr int callerCount = 6;
 
 cluster_settings makeSettings()
 {
@@ -34,33 +35,33 @@
 TEST_GROUP(RolloutBetweenNodes)
 {
     cluster target { makeSettings() };
-    std::atomic<bool> isOver { false };
-    std::atomic<int> whole { 0 };
-    std::atomic<int> notWhole { 0 };
+    std::atomic<bool> isStopping { false };
+    std::atomic<int> completeAnswers { 0 };
+    std::atomic<int> incompleteAnswers { 0 };
     std::vector<std::thread> traffic;
 
     void setup() override { target.start(); }
 
     void teardown() override { endTraffic(); }
 
-    /// Engine 3 becomes the only one of version v2.
+    /// Proposes version v2, with engine 3 as its only endpoint.
     void startRollout()
     {
         target.listEndpoint("engine-3", "engine", "summary-model", target.engineUrl(3), "east", false, "v2");
         std::this_thread::sleep_for(std::chrono::milliseconds(4000));
         const int64_t now = wallMilliseconds();
-        const json version { { "service", "summary-model" }, { "name", "v2" }, { "state", "taking_over" }, { "started_at_ms", now }, { "deadline_ms", now + planMilliseconds } };
+        const json version { { "service", "summary-model" }, { "name", "v2" }, { "state", "taking_over" }, { "started_at_ms", now }, { "deadline_ms", now + rolloutPeriodMs } };
         LONGS_EQUAL(200, target.propose(1, { { "kind", "version" }, { "body", version } }).status);
     }
 
     void sendTraffic()
     {
-        for (int caller = 0; caller < callers; ++caller) {
+        for (int caller = 0; caller < callerCount; ++caller) {
             traffic.emplace_back([this, caller] {
-                for (int count = 0; !isOver; ++count) {
+                for (int count = 0; !isStopping; ++count) {
                     const stream_request request { "quote " + std::to_string(caller) + " " + std::to_string(count), 4, caller % 3 + 1, 20000, {} };
-                    const bool isWhole = isWholeAnswer(streamChat(target, request), request);
-                    (isWhole ? whole : notWhole) += 1;
+                    const bool isComplete = isWholeAnswer(streamChat(target, request), request);
+                    (isComplete ? completeAnswers : incompleteAnswers) += 1;
                 }
             });
         }
@@ -68,16 +69,17 @@
 
     void endTraffic()
     {
-        isOver = true;
+        isStopping = true;
         for (std::thread& thread : traffic)
             thread.join();
         traffic.clear();
     }
 
+    /// @return the state the version ended in, or "unfinished" after the rollout period.
     std::string waitForEnd() const
     {
         const std::vector<Http::header> headers { { "Authorization", "Bearer test-operator-key" } };
-        const int64_t end = wallMilliseconds() + planMilliseconds;
+        const int64_t end = wallMilliseconds() + rolloutPeriodMs;
         while (wallMilliseconds() < end) {
             const auto page = json::parse(call("GET", target.nodeUrl(2) + "/operator/v1/configuration", "", headers).body, nullptr, false);
             for (const auto& version : page.value("versions", json::array())) {
@@ -92,19 +94,19 @@
     int64_t requestsAtNewVersion() const { return target.control(target.engineUrl(3), json::object())["requests"].get<int64_t>(); }
 };
 
-TEST(RolloutBetweenNodes, AGoodVersionTakesOverBeforeItsDeadline)
+TEST(RolloutBetweenNodes, AHealthyVersionTakesOverBeforeItsDeadline)
 {
     startRollout();
     sendTraffic();
     STRCMP_EQUAL("current", waitForEnd().c_str());
     endTraffic();
-    LONGS_EQUAL(0, notWhole);
+    LONGS_EQUAL(0, incompleteAnswers);
     CHECK(requestsAtNewVersion() > 0);
 }
 
-TEST(RolloutBetweenNodes, AVersionThatFailsIsTakenBackAndNobodySeesItsFailures)
+TEST(RolloutBetweenNodes, AFailingVersionIsTakenBackAndCallersSeeNoFailure)
 {
-    constexpr int64_t mostRequests = 40;
+    constexpr int64_t maxRequests = 40;
     const int64_t before = requestsAtNewVersion();
     target.control(target.engineUrl(3), { { "failures", 1000000 } });
     startRollout();
@@ -112,27 +114,27 @@
     sendTraffic();
     STRCMP_EQUAL("taken_back", waitForEnd().c_str());
     endTraffic();
-    LONGS_EQUAL(0, notWhole);
-    CHECK(whole > 0);
+    LONGS_EQUAL(0, incompleteAnswers);
+    CHECK(completeAnswers > 0);
     CHECK(before == atStart);
-    CHECK(requestsAtNewVersion() - atStart <= mostRequests);
+    CHECK(requestsAtNewVersion() - atStart <= maxRequests);
 }
 
-TEST(RolloutBetweenNodes, ABadVersionIsLatchedWhileTheStoreIsDown)
+TEST(RolloutBetweenNodes, AFailingVersionGetsNoMoreRequestsWhileTheStoreIsDown)
 {
-    constexpr int64_t mostRequests = 40;
+    constexpr int64_t maxRequests = 40;
     target.control(target.engineUrl(3), { { "failures", 1000000 } });
     startRollout();
     const int64_t atStart = requestsAtNewVersion();
     target.control(target.tableUrl(), { { "down", true } });
     sendTraffic();
     std::this_thread::sleep_for(std::chrono::milliseconds(12000));
-    const int64_t latched = requestsAtNewVersion();
+    const int64_t requestsWhenLatched = requestsAtNewVersion();
     std::this_thread::sleep_for(std::chrono::milliseconds(3000));
-    CHECK(latched - atStart > 0 && latched - atStart <= mostRequests);
-    LONGS_EQUAL(latched, requestsAtNewVersion());
+    CHECK(requestsWhenLatched - atStart > 0 && requestsWhenLatched - atStart <= maxRequests);
+    LONGS_EQUAL(requestsWhenLatched, requestsAtNewVersion());
     target.control(target.tableUrl(), { { "down", false } });
     STRCMP_EQUAL("taken_back", waitForEnd().c_str());
     endTraffic();
-    LONGS_EQUAL(0, notWhole);
+    LONGS_EQUAL(0, incompleteAnswers);
 }
--- a/Tests/Promises/StreamsTest.cpp
+++ b/Tests/Promises/StreamsTest.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// An accepted summary or quote is answered whole, whatever happens to engines and nodes.
+/// The answer to an accepted model request is complete although engines and nodes fail.
 
 #include "Harness/Callers.h"
 
@@ -13,7 +13,7 @@
 
 using namespace Harness;
 
-constexpr uint64_t failurePoint = 8;
+constexpr uint64_t tokensBeforeFailure = 8;
 
 cluster_settings makeSettings()
 {
@@ -24,6 +24,7 @@
     return settings;
 }
 
+/// @return the number of an engine that is serving a request; 1 when none is.
 int busyEngine(const cluster& target)
 {
     for (int number = 1; number <= target.settings().engines; ++number) {
@@ -34,14 +35,14 @@
     return 1;
 }
 
-/// Streams once and causes a failure when the given number of tokens has arrived.
-stream_result streamThrough(cluster& target, stream_request& request, const std::function<void()>& failure)
+/// Streams one request and calls failure once, when tokensBeforeFailure tokens have arrived.
+stream_result streamWithFailure(cluster& target, stream_request& request, const std::function<void()>& failure)
 {
-    bool isDone = false;
+    bool hasCausedFailure = false;
     request.onToken = [&](uint64_t tokens) {
-        if (tokens < failurePoint || isDone)
+        if (tokens < tokensBeforeFailure || hasCausedFailure)
             return;
-        isDone = true;
+        hasCausedFailure = true;
         failure();
     };
     return streamChat(target, request);
@@ -56,19 +57,20 @@
 
     void setup() override { target.start(); }
 
-    void checkWhole(const stream_result& result) const
+    /// Fails the test unless the answer has all requested tokens.
+    void checkComplete(const stream_result& result) const
     {
         STRCMP_EQUAL("", result.error.c_str());
         CHECK(isWholeAnswer(result, request));
     }
 };
 
-TEST(Streams, AnEngineKilledInTheMiddle)
+TEST(Streams, AStreamIsCompleteWhenItsEngineIsKilled)
 {
-    checkWhole(streamThrough(target, request, [this] { killProcess(target.engine(busyEngine(target))); }));
+    checkComplete(streamWithFailure(target, request, [this] { killProcess(target.engine(busyEngine(target))); }));
 }
 
-TEST(Streams, TheTakerKilledToo)
+TEST(Streams, AStreamIsCompleteWhenTwoOfItsEnginesAreKilled)
 {
     int kills = 0;
     request.onToken = [&](uint64_t tokens) {
@@ -77,33 +79,33 @@
         ++kills;
         killProcess(target.engine(busyEngine(target)));
     };
-    checkWhole(streamChat(target, request));
+    checkComplete(streamChat(target, request));
     LONGS_EQUAL(2, kills);
 }
 
-TEST(Streams, AllEnginesGoneForAWhile)
+TEST(Streams, AStreamIsCompleteAfterAnOutageOfAllEngines)
 {
-    std::atomic<bool> isOver { false };
+    std::atomic<bool> isTestDone { false };
     std::thread restart;
-    const stream_result result = streamThrough(target, request, [&] {
+    const stream_result result = streamWithFailure(target, request, [&] {
         for (int number = 1; number <= 3; ++number)
             killProcess(target.engine(number));
         restart = std::thread([&] {
             std::this_thread::sleep_for(std::chrono::milliseconds(1500));
             target.startEngine(2);
-            // A child process ends with the thread that started it.
-            while (!isOver)
+            // A child process is killed when the thread that started it ends.
+            while (!isTestDone)
                 std::this_thread::sleep_for(std::chrono::milliseconds(10));
         });
     });
-    isOver = true;
+    isTestDone = true;
     restart.join();
-    checkWhole(result);
+    checkComplete(result);
 }
 
-TEST(Streams, AnEngineThatStallsAndIgnoresTheCancel)
+TEST(Streams, AStreamIsCompleteWhenItsEngineStallsAndIgnoresTheCancel)
 {
-    checkWhole(streamThrough(target, request, [this] {
+    checkComplete(streamWithFailure(target, request, [this] {
         const int number = busyEngine(target);
         target.control(target.engineUrl(number), { { "stalled", true }, { "ignore_cancel", true } });
         std::thread([this, number] {
@@ -117,32 +119,32 @@
     LONGS_EQUAL(2, requests);
 }
 
-TEST(Streams, AnEngineThatBeginsToTalkNonsense)
+TEST(Streams, AStreamIsCompleteWhenItsEngineSendsInvalidEvents)
 {
-    checkWhole(streamThrough(target, request, [this] { target.control(target.engineUrl(busyEngine(target)), { { "nonsense", true } }); }));
+    checkComplete(streamWithFailure(target, request, [this] { target.control(target.engineUrl(busyEngine(target)), { { "nonsense", true } }); }));
 }
 
-TEST(Streams, AnEngineThatFailsFirstRequests)
+TEST(Streams, AStreamIsCompleteWhenEveryEngineFailsItsFirstRequest)
 {
     for (int number = 1; number <= 3; ++number)
         target.control(target.engineUrl(number), { { "failures", 1 } });
-    checkWhole(streamChat(target, request));
+    checkComplete(streamChat(target, request));
 }
 
-TEST(Streams, ANodeReclaimedInTheMiddle)
+TEST(Streams, AStreamIsFinishedByAPeerWhenItsNodeIsReclaimed)
 {
-    // Longer than the whole notice: only a peer can finish it.
+    // The stream takes longer than the notice, so only a peer can finish it.
     request.tokens = 700;
-    const stream_result result = streamThrough(target, request, [this] { signalProcess(target.node(1), SIGTERM); });
-    checkWhole(result);
+    const stream_result result = streamWithFailure(target, request, [this] { signalProcess(target.node(1), SIGTERM); });
+    checkComplete(result);
     CHECK(result.reconnects > 0);
     LONGS_EQUAL(0, waitForExit(target.node(1), 10000));
 }
 
-TEST(Streams, ANodeKilledHalfwayThroughItsOwnNotice)
+TEST(Streams, AStreamIsCompleteWhenItsNodeIsKilledDuringItsNotice)
 {
     request.tokens = 400;
-    checkWhole(streamThrough(target, request, [this] {
+    checkComplete(streamWithFailure(target, request, [this] {
         signalProcess(target.node(1), SIGTERM);
         std::thread([this] {
             std::this_thread::sleep_for(std::chrono::milliseconds(4000));
@@ -151,16 +153,16 @@
     }));
 }
 
-TEST(Streams, ANodeReclaimedWhileTheStoreIsDown)
+TEST(Streams, AStreamIsCompleteWhenItsNodeIsReclaimedInAStoreOutage)
 {
     request.tokens = 300;
-    checkWhole(streamThrough(target, request, [this] {
+    checkComplete(streamWithFailure(target, request, [this] {
         target.control(target.tableUrl(), { { "down", true } });
         signalProcess(target.node(1), SIGTERM);
     }));
 }
 
-TEST(Streams, ACallerThatComesBackAtAnotherNode)
+TEST(Streams, ACallerResumingAtAnotherNodeIsRedirectedToItsAnswer)
 {
     request.timeLimitMilliseconds = 700;
     stream_result first = streamChat(target, request);
@@ -169,13 +171,13 @@
     const std::vector<Http::header> headers { { "Authorization", "Bearer " + target.accountKey() } };
     const http_answer redirect = call("GET", url, "", headers);
     LONGS_EQUAL(307, redirect.status);
-    const http_answer whole = call("GET", redirect.redirectUrl, "", headers);
-    LONGS_EQUAL(200, whole.status);
-    const auto body = nlohmann::json::parse(whole.body);
+    const http_answer completeAnswer = call("GET", redirect.redirectUrl, "", headers);
+    LONGS_EQUAL(200, completeAnswer.status);
+    const auto body = nlohmann::json::parse(completeAnswer.body);
     LONGS_EQUAL(request.tokens, body["usage"]["completion_tokens"].get<uint64_t>());
 }
 
-TEST(Streams, AWholeAnswerThroughANodeThatLeavesIsFoundByItsRedirect)
+TEST(Streams, AnUnstreamedAnswerOfALeavingNodeIsReachedByRedirect)
 {
     const nlohmann::json body { { "model", "inspection-summary" }, { "max_tokens", 300 }, { "messages", nlohmann::json::array({ { { "role", "user" }, { "content", "x" } } }) } };
     const std::vector<Http::header> headers { { "Authorization", "Bearer " + target.accountKey() } };
@@ -186,12 +188,12 @@
     const http_answer redirect = call("POST", target.nodeUrl(1) + "/v1/chat/completions", body.dump(), headers, 20000);
     stop.join();
     LONGS_EQUAL(303, redirect.status);
-    const http_answer whole = call("GET", redirect.redirectUrl, "", headers, 20000);
-    LONGS_EQUAL(200, whole.status);
-    LONGS_EQUAL(300, nlohmann::json::parse(whole.body)["usage"]["completion_tokens"].get<int>());
+    const http_answer completeAnswer = call("GET", redirect.redirectUrl, "", headers, 20000);
+    LONGS_EQUAL(200, completeAnswer.status);
+    LONGS_EQUAL(300, nlohmann::json::parse(completeAnswer.body)["usage"]["completion_tokens"].get<int>());
 }
 
-TEST(Streams, ACallerThatGoesAwayCancelsItsEngineWork)
+TEST(Streams, ACallersDisconnectCancelsTheWorkAtTheEngine)
 {
     request.tokens = 2000;
     request.timeLimitMilliseconds = 500;
@@ -207,7 +209,7 @@
     CHECK(isCancelled);
 }
 
-TEST(Streams, ALeavingEngineGetsNoNewWorkThoughTheListLags)
+TEST(Streams, ALeavingEngineGetsNoNewWorkWhileTheListLags)
 {
     target.control(target.cloudUrl(), { { "lag_ms", 60000 } });
     target.control(target.engineUrl(1), { { "leaving", true } });
@@ -216,9 +218,9 @@
     request.tokens = 3;
     for (int round = 0; round < 12; ++round) {
         request.firstNode = round % 3 + 1;
-        // Prompts of their own, so that no prefix keeps the requests at one engine.
+        // Each round has a different prompt, so that prefix affinity does not keep the requests at one engine.
         request.prompt = "crates " + std::to_string(round);
-        checkWhole(streamChat(target, request));
+        checkComplete(streamChat(target, request));
     }
     CHECK(before == target.control(target.engineUrl(1), nlohmann::json::object())["requests"]);
 }
