--- a/Tests/StandIns/Cloud.cpp
+++ b/Tests/StandIns/Cloud.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The cloud's API: a lagging list of instances, and starts by client token.
+/// The cloud's API: a list of instances that can lag behind, and starts that are idempotent by client token.
 
 #include "StandIns/StandIns.h"
 
@@ -18,10 +18,10 @@
     constexpr int statusUnavailable = 503;
 
     struct cloud_stand_in {
-        std::map<std::string, json> instances; ///< As they are.
-        std::map<std::string, json> listed; ///< As the lagging list shows them.
-        std::map<std::string, std::string> startsByToken;
-        bool isDown { false };
+        std::map<std::string, json> instances; ///< The current state, by id.
+        std::map<std::string, json> listed; ///< The state that the list shows, delayed by lagMilliseconds; by id.
+        std::map<std::string, std::string> instanceIdsByToken;
+        bool isDown { false }; ///< Answers 503.
         bool isRefusingStarts { false };
         int64_t lagMilliseconds { 0 };
     };
@@ -50,15 +50,15 @@
     std::string start(cloud_stand_in& cloud, const json& request)
     {
         const std::string token = request.value("client_token", "");
-        const auto known = cloud.startsByToken.find(token);
-        if (known != cloud.startsByToken.end())
-            return cloud.instances[known->second].dump();
-        const std::string id = "i-" + std::to_string(cloud.startsByToken.size() + 1);
+        const auto earlierStart = cloud.instanceIdsByToken.find(token);
+        if (earlierStart != cloud.instanceIdsByToken.end())
+            return cloud.instances[earlierStart->second].dump();
+        const std::string id = "i-" + std::to_string(cloud.instanceIdsByToken.size() + 1);
         json instance = request;
         instance["id"] = id;
         instance["state"] = "running";
         cloud.instances[id] = instance;
-        cloud.startsByToken[token] = id;
+        cloud.instanceIdsByToken[token] = id;
         return instance.dump();
     }
 
--- a/Tests/StandIns/Engine.cpp
+++ b/Tests/StandIns/Engine.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// A model engine with continuous batching, a limited prefix cache, priorities, resumption and a lagging load report.
+/// A model engine with continuous batching, a limited prefix cache, priorities, resumption of a partial answer and a
+/// load report that lags.
 
 #include "StandIns/StandIns.h"
 
@@ -18,32 +19,32 @@
 
     constexpr int statusOk = 200;
     constexpr size_t prefixCacheEntries = 64;
-    constexpr std::chrono::milliseconds reportLag { 300 };
+    constexpr std::chrono::milliseconds reportLag { 300 }; ///< Interval at which the load report is renewed.
 
     struct engine_stream_entry {
         Common::caller_token token;
         std::string prompt;
-        uint64_t position { 0 };
+        uint64_t position { 0 }; ///< Of the next token; above zero at the start of a resumed answer.
         uint64_t end { 0 };
         int priority { 0 };
-        bool hasStarted { false };
+        bool hasStarted { false }; ///< Whether the prefill is done.
     };
 
     struct engine_stand_in {
         stand_in_settings settings;
         std::list<engine_stream_entry> running;
         std::deque<engine_stream_entry> waiting;
-        std::deque<std::string> prefixes;
+        std::deque<std::string> prefixes; ///< The prefix cache, the most recently used last.
         size_t reportedRunning { 0 };
         size_t reportedWaiting { 0 };
         bool isLeaving { false };
         bool isStalled { false };
         bool isIgnoringCancel { false };
-        bool isTalkingNonsense { false };
-        int failuresToGive { 0 };
+        bool isSendingInvalidEvents { false };
+        int failuresLeft { 0 }; ///< Number of next requests to answer with 500.
         uint64_t requests { 0 };
         uint64_t tokens { 0 };
-        uint64_t promptTokens { 0 };
+        uint64_t promptTokens { 0 }; ///< Computed; a cached prompt counts as one.
         uint64_t cancelled { 0 };
     };
 
@@ -69,7 +70,8 @@
         return entry;
     }
 
-    /// @return whether the prompt's beginning is in the cache; it is afterwards.
+    /// Moves the prompt's first line to the newest end of the prefix cache and evicts the oldest entry when it is full.
+    /// @return whether the line was cached.
     bool touchPrefix(engine_stand_in& engine, const std::string& prompt)
     {
         const std::string prefix = prompt.substr(0, prompt.find('\n'));
@@ -116,7 +118,7 @@
         const std::string text = tokenOf(entry.prompt, entry.position++);
         const bool isLast = entry.position >= entry.end;
         ++engine.tokens;
-        server.writeChunk(entry.token, engine.isTalkingNonsense ? "data: {{{\n\n" : formatEvent(text, isLast));
+        server.writeChunk(entry.token, engine.isSendingInvalidEvents ? "data: {{{\n\n" : formatEvent(text, isLast));
         if (!isLast)
             return false;
         server.writeChunk(entry.token, "data: [DONE]\n\n");
@@ -158,8 +160,8 @@
             engine.isLeaving = change.value("leaving", engine.isLeaving);
             engine.isStalled = change.value("stalled", engine.isStalled);
             engine.isIgnoringCancel = change.value("ignore_cancel", engine.isIgnoringCancel);
-            engine.isTalkingNonsense = change.value("nonsense", engine.isTalkingNonsense);
-            engine.failuresToGive = change.value("failures", engine.failuresToGive);
+            engine.isSendingInvalidEvents = change.value("nonsense", engine.isSendingInvalidEvents);
+            engine.failuresLeft = change.value("failures", engine.failuresLeft);
             engine.settings.tokenMilliseconds = change.value("token_ms", engine.settings.tokenMilliseconds);
             engine.settings.prefillMilliseconds = change.value("prefill_ms", engine.settings.prefillMilliseconds);
         }
@@ -177,8 +179,8 @@
     {
         constexpr int statusServerError = 500;
         ++engine.requests;
-        if (engine.failuresToGive > 0) {
-            --engine.failuresToGive;
+        if (engine.failuresLeft > 0) {
+            --engine.failuresLeft;
             server.respond(request.token, statusServerError, {}, "{}");
             return;
         }
--- a/Tests/StandIns/Main.cpp
+++ b/Tests/StandIns/Main.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Runs one stand-in as a process.
+/// Runs one stand-in until its process is ended.
 
 #include "StandIns/StandIns.h"
 
--- a/Tests/StandIns/Relay.cpp
+++ b/Tests/StandIns/Relay.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// A TCP relay before one port, which a test closes and opens to cut a node off from what its peers send.
+/// A TCP relay in front of one port. A test kills and restarts it to cut a node off from what its peers send.
 
 #include "StandIns/StandIns.h"
 
@@ -14,19 +14,19 @@
 
     using asio::ip::tcp;
 
-    /// Copies bytes in both directions until either side closes.
+    /// Copies bytes in both directions until either side closes or fails.
     class relayed_connection : public std::enable_shared_from_this<relayed_connection> {
     public:
-        relayed_connection(tcp::socket&& near, tcp::socket&& far)
-            : m_near(std::move(near))
-            , m_far(std::move(far))
+        relayed_connection(tcp::socket&& client, tcp::socket&& server)
+            : m_client(std::move(client))
+            , m_server(std::move(server))
         {
         }
 
         void begin()
         {
-            copy(m_near, m_far, m_forth);
-            copy(m_far, m_near, m_back);
+            copy(m_client, m_server, m_clientToServer);
+            copy(m_server, m_client, m_serverToClient);
         }
 
     private:
@@ -49,26 +49,26 @@
         void end()
         {
             asio::error_code ignored;
-            m_near.close(ignored);
-            m_far.close(ignored);
+            m_client.close(ignored);
+            m_server.close(ignored);
         }
 
-        tcp::socket m_near;
-        tcp::socket m_far;
-        byte_buffer m_forth {};
-        byte_buffer m_back {};
+        tcp::socket m_client;
+        tcp::socket m_server;
+        byte_buffer m_clientToServer {};
+        byte_buffer m_serverToClient {};
     };
 
     void accept(tcp::acceptor& acceptor, const tcp::endpoint& target)
     {
-        acceptor.async_accept([&acceptor, target](const asio::error_code& error, tcp::socket near) {
+        acceptor.async_accept([&acceptor, target](const asio::error_code& error, tcp::socket client) {
             if (error)
                 return;
-            tcp::socket far(acceptor.get_executor());
+            tcp::socket server(acceptor.get_executor());
             asio::error_code connectError;
-            far.connect(target, connectError);
+            server.connect(target, connectError);
             if (!connectError)
-                std::make_shared<relayed_connection>(std::move(near), std::move(far))->begin();
+                std::make_shared<relayed_connection>(std::move(client), std::move(server))->begin();
             accept(acceptor, target);
         });
     }
--- a/Tests/StandIns/Service.cpp
+++ b/Tests/StandIns/Service.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// A plain service (ledger, order desk) that counts how often each idempotency key ran.
+/// A plain service (ledger, order desk) that counts the runs for each idempotency key.
 
 #include "StandIns/StandIns.h"
 
@@ -16,9 +16,9 @@
     constexpr int statusOk = 200;
 
     struct service_stand_in {
-        std::map<std::string, uint64_t> runs;
-        int cutsBefore { 0 }; ///< Calls that are cut without having run.
-        int cutsAfter { 0 }; ///< Calls that run and are cut.
+        std::map<std::string, uint64_t> runs; ///< By idempotency key.
+        int cutsBeforeRun { 0 }; ///< Number of next calls to cut without running them.
+        int cutsAfterRun { 0 }; ///< Number of next calls to run and then cut.
         int64_t delayMilliseconds { 0 };
         bool isLeaving { false };
     };
@@ -26,8 +26,8 @@
     std::string control(service_stand_in& service, const json& change)
     {
         if (change.is_object()) {
-            service.cutsBefore = change.value("cut_before", service.cutsBefore);
-            service.cutsAfter = change.value("cut_after", service.cutsAfter);
+            service.cutsBeforeRun = change.value("cut_before", service.cutsBeforeRun);
+            service.cutsAfterRun = change.value("cut_after", service.cutsAfterRun);
             service.delayMilliseconds = change.value("delay_ms", service.delayMilliseconds);
             service.isLeaving = change.value("leaving", service.isLeaving);
         }
@@ -41,7 +41,7 @@
         return json { { "path", request.path }, { "key", key }, { "run", run } }.dump();
     }
 
-    bool takeOne(int& counter)
+    bool consumeOne(int& counter)
     {
         if (counter == 0)
             return false;
@@ -64,13 +64,13 @@
             self->respond(request.token, statusOk, {}, json { { "running", 0 }, { "waiting", 0 }, { "leaving", service.isLeaving } }.dump());
             return;
         }
-        if (takeOne(service.cutsBefore)) {
+        if (consumeOne(service.cutsBeforeRun)) {
             self->cutAnswer(request.token);
             return;
         }
         const auto answer = [&, request] {
             const std::string body = runCall(service, request);
-            if (takeOne(service.cutsAfter))
+            if (consumeOne(service.cutsAfterRun))
                 self->cutAnswer(request.token);
             else
                 self->respond(request.token, statusOk, { { "Content-Type", "application/json" } }, body);
--- a/Tests/StandIns/Table.cpp
+++ b/Tests/StandIns/Table.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The table service: conditional puts, gets and queries in DynamoDB JSON, in memory.
+/// The table service in memory: conditional puts, transactions, gets and queries in DynamoDB JSON.
 
 #include "StandIns/StandIns.h"
 
@@ -23,9 +23,9 @@
     };
 
     struct table_stand_in {
-        std::map<std::string, std::map<std::string, json>> rows;
+        std::map<std::string, std::map<std::string, json>> rows; ///< By partition key and sort key.
         bool isDown { false };
-        int repliesToLose { 0 }; ///< Writes that take effect without an answer.
+        int repliesToDrop { 0 }; ///< Number of next writes to apply without an answer.
         int64_t delayMilliseconds { 0 };
         uint64_t writes { 0 };
         uint64_t reads { 0 };
@@ -129,7 +129,7 @@
         const json change = json::parse(request.body, nullptr, false);
         if (change.is_object()) {
             table.isDown = change.value("down", table.isDown);
-            table.repliesToLose = change.value("lose_replies", table.repliesToLose);
+            table.repliesToDrop = change.value("lose_replies", table.repliesToDrop);
             table.delayMilliseconds = change.value("delay_ms", table.delayMilliseconds);
         }
         return json { { "writes", table.writes }, { "reads", table.reads }, { "down", table.isDown } }.dump();
@@ -152,8 +152,8 @@
         }
         const std::string target(Http::findHeader(request.headers, "x-amz-target"));
         const table_answer answer = serve(table, target, json::parse(request.body));
-        if (isWrite(target) && table.repliesToLose > 0) {
-            --table.repliesToLose;
+        if (isWrite(target) && table.repliesToDrop > 0) {
+            --table.repliesToDrop;
             self->cutAnswer(request.token);
             return;
         }
--- a/Tests/StandIns/Tokens.cpp
+++ b/Tests/StandIns/Tokens.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The tokens that every engine stand-in gives.
+/// The deterministic tokens that all engine stand-ins generate.
 
 #include "StandIns/StandIns.h"
 
