--- a/Tests/TestMain.cpp
+++ b/Tests/TestMain.cpp
@@ -1,12 +1,12 @@
 /// @file
-/// Runs the tests of one module.
+/// Entry point of the CppUTest programs.
 
 #include <CppUTest/CommandLineTestRunner.h>
 #include <CppUTest/MemoryLeakWarningPlugin.h>
 
 int main(int argc, char** argv)
 {
-    // The libraries keep static objects, which the leak detector would report.
+    // The leak detector would report static objects of the libraries.
     MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
     return CommandLineTestRunner::RunAllTests(argc, argv);
 }
