--- a/Source/Core/Entry/Answers.cpp
+++ b/Source/Core/Entry/Answers.cpp
@@ -7,14 +7,14 @@
     using nlohmann::json;
     using nlohmann::ordered_json;
 
-    std::string quote(const std::string& text)
+    std::string toJsonString(const std::string& text)
     {
         return json(text).dump(-1, ' ', false, json::error_handler_t::replace);
     }
 
-    std::string eventPrefix(const Common::request_id& request, const Common::class_name& work)
+    std::string chunkPrefix(const Common::request_id& request, const Common::class_name& work)
     {
-        return "data: {\"id\":" + quote(request.value) + ",\"object\":\"chat.completion.chunk\",\"model\":" + quote(work.value)
+        return "data: {\"id\":" + toJsonString(request.value) + ",\"object\":\"chat.completion.chunk\",\"model\":" + toJsonString(work.value)
             + ",\"choices\":[{\"index\":0,\"delta\":";
     }
 
@@ -27,19 +27,19 @@
 
 std::string formatTokens(const Dispatch::send_tokens& action)
 {
-    const std::string prefix = eventPrefix(action.request, action.work);
+    const std::string prefix = chunkPrefix(action.request, action.work);
     std::string bytes;
     uint64_t position = action.firstPosition;
     for (const std::string& text : action.texts) {
         bytes += "id: " + action.request.value + ":" + std::to_string(position++) + "\n";
-        bytes += prefix + "{\"content\":" + quote(text) + "},\"finish_reason\":null}]}\n\n";
+        bytes += prefix + "{\"content\":" + toJsonString(text) + "},\"finish_reason\":null}]}\n\n";
     }
     return bytes;
 }
 
 std::string formatStreamEnd(const Dispatch::send_stream_end& action)
 {
-    std::string bytes = eventPrefix(action.request, action.work) + "{},\"finish_reason\":" + quote(action.finishReason) + "}]";
+    std::string bytes = chunkPrefix(action.request, action.work) + "{},\"finish_reason\":" + toJsonString(action.finishReason) + "}]";
     bytes += ",\"usage\":{\"completion_tokens\":" + std::to_string(action.tokenCount) + "}}\n\n";
     return bytes + "data: [DONE]\n\n";
 }
--- a/Source/Core/Entry/CallerApi.cpp
+++ b/Source/Core/Entry/CallerApi.cpp
@@ -12,19 +12,19 @@
     using nlohmann::json;
 
     constexpr std::string_view bearerPrefix = "Bearer ";
-    constexpr size_t longestIdempotencyKey = 128;
+    constexpr size_t maxIdempotencyKeyBytes = 128;
 
     tl::unexpected<failure> reject(failure_kind kind, const std::string& subject)
     {
         return tl::unexpected(failure { kind, subject, Common::run_state::NotRun, 0 });
     }
 
-    bool isMessage(const json& item)
+    bool isMessage(const json& value)
     {
-        return item.is_object() && item.contains("role") && item["role"].is_string() && item.contains("content") && item["content"].is_string();
+        return value.is_object() && value.contains("role") && value["role"].is_string() && value.contains("content") && value["content"].is_string();
     }
 
-    bool areMessages(const json& body)
+    bool hasValidMessages(const json& body)
     {
         const auto messages = body.find("messages");
         if (messages == body.end() || !messages->is_array() || messages->empty())
@@ -32,15 +32,15 @@
         return std::all_of(messages->begin(), messages->end(), isMessage);
     }
 
-    Common::result<Configuration::class_of_work> findClass(const caller_directory& directory, const std::string& name, Configuration::class_kind kind)
+    Common::result<Configuration::class_of_work> findClass(const indexed_configuration& indexed, const std::string& name, Configuration::class_kind kind)
     {
-        const auto found = directory.config->classes.find({ name });
-        if (found == directory.config->classes.end() || found->second.kind != kind)
+        const auto found = indexed.config->classes.find({ name });
+        if (found == indexed.config->classes.end() || found->second.kind != kind)
             return reject(failure_kind::UnknownClass, name);
         return found->second;
     }
 
-    /// An event id is the request's id, a colon and the token's position.
+    /// An event id has the form "<request id>:<token position>"; a malformed one counts as position zero.
     uint64_t positionOf(std::string_view lastEventId)
     {
         const size_t colon = lastEventId.rfind(':');
@@ -51,13 +51,13 @@
 
 } // namespace
 
-caller_directory indexAccounts(std::shared_ptr<const Configuration::configuration> config)
+indexed_configuration indexAccounts(std::shared_ptr<const Configuration::configuration> config)
 {
-    caller_directory directory;
+    indexed_configuration indexed;
     for (const auto& [id, account] : config->accounts)
-        directory.accountByDigest[account.keyDigest] = id;
-    directory.config = std::move(config);
-    return directory;
+        indexed.accountByDigest[account.keyDigest] = id;
+    indexed.config = std::move(config);
+    return indexed;
 }
 
 std::string bearerToken(const std::vector<Http::header>& headers)
@@ -68,18 +68,18 @@
     return std::string(value.substr(bearerPrefix.size()));
 }
 
-Common::result<Common::account_id> authenticate(const caller_directory& directory, const Http::incoming_request& request)
+Common::result<Common::account_id> authenticate(const indexed_configuration& indexed, const Http::incoming_request& request)
 {
     const std::string key = bearerToken(request.headers);
-    const auto found = directory.accountByDigest.find(Configuration::digestKey(key));
-    if (key.empty() || found == directory.accountByDigest.end())
+    const auto found = indexed.accountByDigest.find(Configuration::digestKey(key));
+    if (key.empty() || found == indexed.accountByDigest.end())
         return reject(failure_kind::Unauthorized, "authorization");
     return found->second;
 }
 
-Common::result<Dispatch::caller_request> parseChat(const caller_directory& directory, const Http::incoming_request& request)
+Common::result<Dispatch::caller_request> parseChat(const indexed_configuration& indexed, const Http::incoming_request& request)
 {
-    const auto account = authenticate(directory, request);
+    const auto account = authenticate(indexed, request);
     if (!account)
         return tl::unexpected(account.error());
     Dispatch::caller_request parsed;
@@ -88,12 +88,12 @@
     parsed.body = json::parse(request.body, nullptr, false);
     if (!parsed.body.is_object())
         return reject(failure_kind::MalformedRequest, "body");
-    if (!areMessages(parsed.body))
+    if (!hasValidMessages(parsed.body))
         return reject(failure_kind::MalformedRequest, "messages");
     const auto model = parsed.body.find("model");
     if (model == parsed.body.end() || !model->is_string())
         return reject(failure_kind::MalformedRequest, "model");
-    auto work = findClass(directory, model->get<std::string>(), Configuration::class_kind::Model);
+    auto work = findClass(indexed, model->get<std::string>(), Configuration::class_kind::Model);
     if (!work)
         return tl::unexpected(work.error());
     parsed.work = std::move(*work);
@@ -104,14 +104,14 @@
     return parsed;
 }
 
-Common::result<Dispatch::caller_request> parseServiceCall(const caller_directory& directory, const Http::incoming_request& request)
+Common::result<Dispatch::caller_request> parseServiceCall(const indexed_configuration& indexed, const Http::incoming_request& request)
 {
-    const auto account = authenticate(directory, request);
+    const auto account = authenticate(indexed, request);
     if (!account)
         return tl::unexpected(account.error());
     const std::string rest = request.path.substr(servicesPrefix.size());
     const size_t slash = std::min(rest.find('/'), rest.size());
-    auto work = findClass(directory, rest.substr(0, slash), Configuration::class_kind::Service);
+    auto work = findClass(indexed, rest.substr(0, slash), Configuration::class_kind::Service);
     if (!work)
         return tl::unexpected(work.error());
     Dispatch::caller_request parsed;
@@ -122,14 +122,14 @@
     parsed.rawBody = request.body;
     parsed.idempotencyKey = Http::findHeader(request.headers, "idempotency-key");
     const bool isKeyMissing = parsed.idempotencyKey.empty() && !parsed.work.isIdempotent;
-    if (isKeyMissing || parsed.idempotencyKey.size() > longestIdempotencyKey)
+    if (isKeyMissing || parsed.idempotencyKey.size() > maxIdempotencyKeyBytes)
         return reject(failure_kind::MissingIdempotencyKey, "idempotency-key");
     return parsed;
 }
 
-Common::result<Dispatch::caller_resume> parseResume(const caller_directory& directory, const Http::incoming_request& request)
+Common::result<Dispatch::caller_resume> parseResume(const indexed_configuration& indexed, const Http::incoming_request& request)
 {
-    const auto account = authenticate(directory, request);
+    const auto account = authenticate(indexed, request);
     if (!account)
         return tl::unexpected(account.error());
     Dispatch::caller_resume parsed;
--- a/Source/Core/Entry/CallerApi.h
+++ b/Source/Core/Entry/CallerApi.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Checks what callers send and turns it into typed requests.
+/// Authenticates and validates callers' HTTP requests and converts them to the dispatch duty's requests.
 
 #include "Configuration/Model.h"
 #include "Dispatch/Messages.h"
@@ -12,39 +12,39 @@
 
 namespace Entry {
 
-/// The configuration in force with an index of its keys.
-struct caller_directory {
+/// The current configuration with an index of the accounts' keys.
+struct indexed_configuration {
     std::shared_ptr<const Configuration::configuration> config;
-    std::unordered_map<std::string, Common::account_id> accountByDigest;
+    std::unordered_map<std::string, Common::account_id> accountByDigest; ///< By the digest of the account's key.
 };
 
-/// @param config the configuration in force.
-/// @return it with its index.
-caller_directory indexAccounts(std::shared_ptr<const Configuration::configuration> config);
+/// @param config the current configuration; must not be null.
+/// @return the configuration with its index.
+indexed_configuration indexAccounts(std::shared_ptr<const Configuration::configuration> config);
 
-/// @param headers of the request.
-/// @return the bearer token, or an empty text.
+/// @param headers headers of a request.
+/// @return the bearer token of its Authorization header, or an empty text.
 std::string bearerToken(const std::vector<Http::header>& headers);
 
-/// @param directory the configuration in force.
-/// @param request any request of a caller.
-/// @return the account whose key it carries.
-Common::result<Common::account_id> authenticate(const caller_directory& directory, const Http::incoming_request& request);
-
-/// @param directory the configuration in force.
-/// @param request a POST of chat completions.
-/// @return the checked request.
-Common::result<Dispatch::caller_request> parseChat(const caller_directory& directory, const Http::incoming_request& request);
-
-/// @param directory the configuration in force.
-/// @param request a POST below the services' path.
-/// @return the checked request.
-Common::result<Dispatch::caller_request> parseServiceCall(const caller_directory& directory, const Http::incoming_request& request);
-
-/// @param directory the configuration in force.
-/// @param request a GET below the requests' path.
-/// @return the caller that comes back.
-Common::result<Dispatch::caller_resume> parseResume(const caller_directory& directory, const Http::incoming_request& request);
+/// @param indexed the current configuration.
+/// @param request a request of a caller.
+/// @return the account whose key is the bearer token, or Unauthorized.
+Common::result<Common::account_id> authenticate(const indexed_configuration& indexed, const Http::incoming_request& request);
+
+/// @param indexed the current configuration.
+/// @param request a POST to chatPath.
+/// @return the validated request, or why it is rejected.
+Common::result<Dispatch::caller_request> parseChat(const indexed_configuration& indexed, const Http::incoming_request& request);
+
+/// @param indexed the current configuration.
+/// @param request a request to a path under servicesPrefix.
+/// @return the validated request, or why it is rejected.
+Common::result<Dispatch::caller_request> parseServiceCall(const indexed_configuration& indexed, const Http::incoming_request& request);
+
+/// @param indexed the current configuration.
+/// @param request a GET of a path under requestsPrefix.
+/// @return the caller's request to resume an earlier one after a token position, or why it is rejected.
+Common::result<Dispatch::caller_resume> parseResume(const indexed_configuration& indexed, const Http::incoming_request& request);
 
 constexpr std::string_view chatPath = "/v1/chat/completions";
 constexpr std::string_view servicesPrefix = "/v1/services/";
--- a/Source/Core/Entry/EntryDuty.cpp
+++ b/Source/Core/Entry/EntryDuty.cpp
@@ -11,18 +11,20 @@
     constexpr int statusOk = 200;
     constexpr int statusSeeOther = 303;
     constexpr int statusTemporaryRedirect = 307;
-    constexpr size_t reportWrittenBytes = size_t { 16 } * 1024;
-    constexpr int comeBackSeconds = 1;
-    constexpr std::chrono::milliseconds searchTimeLimit { 1000 };
+    /// Written token text is reported to the dispatch duty in steps of at least this size, not for each chunk.
+    constexpr size_t writtenReportBytes = size_t { 16 } * 1024;
+    constexpr int defaultRetryAfterSeconds = 1;
+    /// How long a caller waits for a peer to report that it holds the caller's request.
+    constexpr std::chrono::milliseconds locateTimeLimit { 1000 };
 
     bool startsWith(const std::string& text, std::string_view prefix)
     {
         return std::string_view(text).substr(0, prefix.size()) == prefix;
     }
 
-    Common::failure ringFull(std::string_view duty)
+    Common::failure ringFullFailure(std::string_view duty)
     {
-        return { Common::failure_kind::Overloaded, std::string(duty), Common::run_state::NotRun, comeBackSeconds };
+        return { Common::failure_kind::Overloaded, std::string(duty), Common::run_state::NotRun, defaultRetryAfterSeconds };
     }
 
 } // namespace
@@ -31,10 +33,10 @@
     : m_settings(std::move(settings))
     , m_outlets(std::move(outlets))
     , m_inbox(ringCapacity)
-    , m_directory(indexAccounts(std::make_shared<const Configuration::configuration>()))
+    , m_configuration(indexAccounts(std::make_shared<const Configuration::configuration>()))
     , m_server(
           m_settings.http, [this](Http::incoming_request&& request) { receive(std::move(request)); },
-          [this](Common::caller_token token, size_t, bool isAlive) { observeWrite(token, isAlive); })
+          [this](Common::caller_token token, size_t, bool isConnected) { handleChunkWritten(token, isConnected); })
 {
     m_status.node = m_settings.node;
     m_status.zone = m_settings.zone;
@@ -72,22 +74,22 @@
         return;
     }
     if (request.path == chatPath && request.method == "POST") {
-        forward(request.token, parseChat(m_directory, request));
+        forward(request.token, parseChat(m_configuration, request));
         return;
     }
     if (startsWith(request.path, servicesPrefix)) {
-        forward(request.token, parseServiceCall(m_directory, request));
+        forward(request.token, parseServiceCall(m_configuration, request));
         return;
     }
     if (startsWith(request.path, requestsPrefix) && request.method == "GET") {
         m_resumeQueries[request.token.value] = request.query;
-        forward(request.token, parseResume(m_directory, request));
+        forward(request.token, parseResume(m_configuration, request));
         return;
     }
-    receivePlain(request);
+    receiveUnauthenticated(request);
 }
 
-void entry_duty::receivePlain(const Http::incoming_request& request)
+void entry_duty::receiveUnauthenticated(const Http::incoming_request& request)
 {
     if (request.path == "/v1/addresses") {
         answerAddresses(request.token);
@@ -102,7 +104,7 @@
         if (isReady)
             answerJson(request.token, statusOk, "{\"status\":\"ready\"}");
         else
-            answerFailure(request.token, { Common::failure_kind::NotReady, m_settings.node.value, Common::run_state::NotRun, comeBackSeconds });
+            answerFailure(request.token, { Common::failure_kind::NotReady, m_settings.node.value, Common::run_state::NotRun, defaultRetryAfterSeconds });
         return;
     }
     if (request.path == "/metrics") {
@@ -115,20 +117,20 @@
 
 void entry_duty::receiveOperator(const Http::incoming_request& request)
 {
-    operator_request parsed = parseOperatorRequest(m_settings.operatorKey, m_status, m_directory, request);
+    operator_request parsed = parseOperatorRequest(m_settings.operatorKey, m_status, m_configuration, request);
     if (auto* answer = std::get_if<operator_answer>(&parsed)) {
         answerJson(request.token, answer->status, std::move(answer->body));
         return;
     }
-    bool isTaken = false;
+    bool isAccepted = false;
     if (auto* proposal = std::get_if<Configuration::proposal>(&parsed))
-        isTaken = m_outlets.tellConfiguration(std::move(*proposal));
+        isAccepted = m_outlets.tellConfiguration(std::move(*proposal));
     if (auto* query = std::get_if<Audit::explain_query>(&parsed))
-        isTaken = m_outlets.tellAudit(std::move(*query));
+        isAccepted = m_outlets.tellAudit(std::move(*query));
     if (auto* query = std::get_if<Audit::trail_query>(&parsed))
-        isTaken = m_outlets.tellAudit(*query);
-    if (!isTaken)
-        answerFailure(request.token, ringFull("operator"));
+        isAccepted = m_outlets.tellAudit(*query);
+    if (!isAccepted)
+        answerFailure(request.token, ringFullFailure("operator"));
 }
 
 template <typename message_type>
@@ -139,29 +141,29 @@
         return;
     }
     if (!m_outlets.tellDispatch(std::move(*parsed)))
-        answerFailure(token, ringFull("dispatch"));
+        answerFailure(token, ringFullFailure("dispatch"));
 }
 
-void entry_duty::observeWrite(Common::caller_token token, bool isAlive)
+void entry_duty::handleChunkWritten(Common::caller_token token, bool isConnected)
 {
-    const auto found = m_unwritten.find(token.value);
-    if (found == m_unwritten.end())
+    const auto found = m_pendingWrites.find(token.value);
+    if (found == m_pendingWrites.end())
         return;
-    if (!found->second.sizes.empty()) {
-        found->second.writtenSinceReport += found->second.sizes.front();
-        found->second.sizes.pop_front();
+    if (!found->second.textSizes.empty()) {
+        found->second.bytesWrittenSinceReport += found->second.textSizes.front();
+        found->second.textSizes.pop_front();
     }
-    if (!isAlive || found->second.writtenSinceReport >= reportWrittenBytes)
-        reportWritten(token, isAlive);
+    if (!isConnected || found->second.bytesWrittenSinceReport >= writtenReportBytes)
+        reportWritten(token, isConnected);
 }
 
-void entry_duty::reportWritten(Common::caller_token token, bool isAlive)
+void entry_duty::reportWritten(Common::caller_token token, bool isConnected)
 {
-    const auto found = m_unwritten.find(token.value);
-    const size_t bytes = std::exchange(found->second.writtenSinceReport, 0);
-    if (!isAlive)
-        m_unwritten.erase(found);
-    static_cast<void>(m_outlets.tellDispatch(Dispatch::caller_written { token, bytes, isAlive }));
+    const auto found = m_pendingWrites.find(token.value);
+    const size_t bytes = std::exchange(found->second.bytesWrittenSinceReport, 0);
+    if (!isConnected)
+        m_pendingWrites.erase(found);
+    static_cast<void>(m_outlets.tellDispatch(Dispatch::caller_written { token, bytes, isConnected }));
 }
 
 void entry_duty::answerAddresses(Common::caller_token token)
@@ -169,9 +171,9 @@
     nlohmann::ordered_json list = nlohmann::ordered_json::array();
     if (!m_status.isLeaving)
         list.push_back({ { "url", "http://" + m_settings.advertisedAddress }, { "zone", m_settings.zone.value }, { "region", m_settings.region.value } });
-    for (const auto& [id, item] : m_status.members) {
-        if (item.status == Membership::member_status::Alive)
-            list.push_back({ { "url", "http://" + item.httpAddress }, { "zone", item.zone.value }, { "region", item.region.value } });
+    for (const auto& [id, member] : m_status.members) {
+        if (member.status == Membership::member_status::Alive)
+            list.push_back({ { "url", "http://" + member.httpAddress }, { "zone", member.zone.value }, { "region", member.region.value } });
     }
     nlohmann::ordered_json body;
     body["addresses"] = std::move(list);
@@ -221,7 +223,7 @@
 void entry_duty::handle(configuration_changed&& message)
 {
     m_status.configuration = message.config->version;
-    m_directory = indexAccounts(std::move(message.config));
+    m_configuration = indexAccounts(std::move(message.config));
 }
 
 void entry_duty::handle(members_changed&& message)
@@ -236,12 +238,12 @@
 
 void entry_duty::handle(request_located&& message)
 {
-    const auto found = m_searching.find(message.request);
-    if (found == m_searching.end())
+    const auto found = m_awaitingLocation.find(message.request);
+    if (found == m_awaitingLocation.end())
         return;
-    const std::vector<searching_caller> callers = std::move(found->second);
-    m_searching.erase(found);
-    for (const searching_caller& caller : callers)
+    const std::vector<waiting_caller> callers = std::move(found->second);
+    m_awaitingLocation.erase(found);
+    for (const waiting_caller& caller : callers)
         redirect(caller.token, message.request, message.httpAddress, caller.query);
 }
 
@@ -253,20 +255,20 @@
 void entry_duty::perform(Dispatch::send_stream_head& action)
 {
     m_resumeQueries.erase(action.token.value);
-    m_unwritten[action.token.value].sizes.push_back(0);
+    m_pendingWrites[action.token.value].textSizes.push_back(0);
     m_server.beginStream(action.token, statusOk, { { "Content-Type", "text/event-stream" }, { "Cache-Control", "no-store" }, { "X-Request-Id", action.request.value } });
     m_server.writeChunk(action.token, formatStreamHead(action));
 }
 
 void entry_duty::perform(Dispatch::send_tokens& action)
 {
-    const auto found = m_unwritten.find(action.token.value);
-    if (found == m_unwritten.end())
+    const auto found = m_pendingWrites.find(action.token.value);
+    if (found == m_pendingWrites.end())
         return;
     size_t size = 0;
     for (const std::string& text : action.texts)
         size += text.size();
-    found->second.sizes.push_back(size);
+    found->second.textSizes.push_back(size);
     m_server.writeChunk(action.token, formatTokens(action));
 }
 
@@ -274,14 +276,14 @@
 {
     m_server.writeChunk(action.token, formatStreamEnd(action));
     m_server.endStream(action.token);
-    m_unwritten.erase(action.token.value);
+    m_pendingWrites.erase(action.token.value);
 }
 
 void entry_duty::perform(Dispatch::send_stream_failure& action)
 {
     m_server.writeChunk(action.token, formatStreamFailure(action));
     m_server.endStream(action.token);
-    m_unwritten.erase(action.token.value);
+    m_pendingWrites.erase(action.token.value);
 }
 
 void entry_duty::perform(Dispatch::send_completion& action)
@@ -309,31 +311,31 @@
         redirect(action.token, action.request, action.httpAddress, "stream=false");
         return;
     }
-    // The caller's event source reconnects by its last event id; others find the address in this event.
+    // An EventSource client reconnects with its Last-Event-ID; other clients read the new address from this event.
     m_server.writeChunk(action.token, "retry: 100\nevent: moved\ndata: {\"location\":\"http://" + action.httpAddress + std::string(requestsPrefix) + action.request.value + "\"}\n\n");
     m_server.endStream(action.token);
-    m_unwritten.erase(action.token.value);
+    m_pendingWrites.erase(action.token.value);
 }
 
 void entry_duty::perform(Dispatch::locate_request& action)
 {
     std::string query;
-    const auto known = m_resumeQueries.find(action.token.value);
-    if (known != m_resumeQueries.end())
-        query = known->second;
-    m_searching[action.request].push_back({ action.token, query });
+    const auto resumeQuery = m_resumeQueries.find(action.token.value);
+    if (resumeQuery != m_resumeQueries.end())
+        query = resumeQuery->second;
+    m_awaitingLocation[action.request].push_back({ action.token, query });
     m_outlets.findHolder(action.request);
-    m_server.runAfter(searchTimeLimit, [this, request = action.request] { giveUpSearch(request); });
+    m_server.runAfter(locateTimeLimit, [this, request = action.request] { failUnlocatedRequest(request); });
 }
 
-void entry_duty::giveUpSearch(const Common::request_id& request)
+void entry_duty::failUnlocatedRequest(const Common::request_id& request)
 {
-    const auto found = m_searching.find(request);
-    if (found == m_searching.end())
+    const auto found = m_awaitingLocation.find(request);
+    if (found == m_awaitingLocation.end())
         return;
-    const std::vector<searching_caller> callers = std::move(found->second);
-    m_searching.erase(found);
-    for (const searching_caller& caller : callers) {
+    const std::vector<waiting_caller> callers = std::move(found->second);
+    m_awaitingLocation.erase(found);
+    for (const waiting_caller& caller : callers) {
         answerFailure(caller.token, { Common::failure_kind::UnknownRequest, request.value, Common::run_state::Unknown, 0 }, request);
     }
 }
--- a/Source/Core/Entry/EntryDuty.h
+++ b/Source/Core/Entry/EntryDuty.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The entry duty: the thread that serves callers and operators.
+/// The entry duty: the thread that serves the HTTP requests of callers and operators.
 
 #include "Common/Ring.h"
 #include "Dispatch/DispatchDuty.h"
@@ -19,16 +19,17 @@
     Common::node_id node;
     Common::zone_name zone;
     Common::region_name region;
-    std::string advertisedAddress; ///< IP number and port that callers are told.
-    std::string operatorKey;
-    std::chrono::milliseconds addressTimeToLive { 5000 };
+    std::string advertisedAddress; ///< "IP:port" of this node in the list of addresses for callers.
+    std::string operatorKey; ///< Key of the operator API; when empty, the API rejects all requests.
+    std::chrono::milliseconds addressTimeToLive { 5000 }; ///< How long callers may cache the list of addresses.
 };
 
-/// Answers from the dispatch duty, in order.
+/// Actions of the dispatch duty on callers' connections, to be performed in order.
 struct caller_actions {
     std::vector<Dispatch::caller_action> actions;
 };
 
+/// The response of another duty to an operator's request.
 struct operator_answered {
     Common::caller_token token;
     operator_answer answer;
@@ -46,18 +47,20 @@
     Endpoints::endpoint_list endpoints;
 };
 
-/// A peer holds a request that a caller asked for here.
+/// A peer holds a request that a caller wants to resume at this node.
 struct request_located {
     Common::request_id request;
     std::string httpAddress;
 };
 
+/// The node has started to shut down: it reports not ready and omits itself from the list of addresses.
 struct leaving_begun { };
 
 using entry_message = std::variant<caller_actions, operator_answered, configuration_changed, members_changed, endpoints_changed,
     request_located, leaving_begun>;
 
-/// Where requests go. Each function returns whether the duty's ring took the message.
+/// Functions that send messages to other duties. Those with a result return whether the duty's ring accepted the message;
+/// a request that a full ring rejects is answered with Overloaded. findHolder asks the peers which of them holds a request.
 struct entry_outlets {
     std::function<bool(Dispatch::dispatch_message&&)> tellDispatch;
     std::function<bool(Configuration::chain_message&&)> tellConfiguration;
@@ -69,31 +72,33 @@
 public:
     entry_duty(entry_settings settings, entry_outlets outlets);
 
-    /// Hands a message over; may be called from any thread.
-    /// @return whether the ring took it.
+    /// Queues a message for the duty; may be called from any thread.
+    /// @return whether the message was queued; false when the ring is full.
     bool submit(entry_message&& message);
-    /// Serves until stop(). Throws std::exception when the address can't be bound.
+    /// Serves requests until stop() is called. Throws std::exception when the address can't be bound.
     void run();
+    /// Makes run() return; may be called from any thread.
     void stop();
 
 private:
-    struct searching_caller {
+    /// A caller that waits until a peer reports that it holds the request.
+    struct waiting_caller {
         Common::caller_token token;
-        std::string query;
+        std::string query; ///< Query of the caller's URL, repeated in the redirect.
     };
 
     void receive(Http::incoming_request&& request);
-    void receivePlain(const Http::incoming_request& request);
+    void receiveUnauthenticated(const Http::incoming_request& request);
     void receiveOperator(const Http::incoming_request& request);
     template <typename message_type>
     void forward(Common::caller_token token, Common::result<message_type>&& parsed);
-    void observeWrite(Common::caller_token token, bool isAlive);
-    void reportWritten(Common::caller_token token, bool isAlive);
+    void handleChunkWritten(Common::caller_token token, bool isConnected);
+    void reportWritten(Common::caller_token token, bool isConnected);
     void answerAddresses(Common::caller_token token);
     void answerFailure(Common::caller_token token, const Common::failure& reason, const Common::request_id& request = {});
     void answerJson(Common::caller_token token, int status, std::string body, const Common::request_id& request = {});
     void redirect(Common::caller_token token, const Common::request_id& request, const std::string& httpAddress, const std::string& query);
-    void giveUpSearch(const Common::request_id& request);
+    void failUnlocatedRequest(const Common::request_id& request);
     void drain();
 
     void handle(caller_actions&& message);
@@ -114,21 +119,21 @@
     void perform(Dispatch::send_redirect& action);
     void perform(Dispatch::locate_request& action);
 
-    /// Texts of one stream that are on their way to the caller.
-    struct unwritten_texts {
-        std::deque<size_t> sizes;
-        size_t writtenSinceReport { 0 };
+    /// Chunks of one stream that are queued but not yet written to the caller's connection.
+    struct pending_writes {
+        std::deque<size_t> textSizes; ///< Bytes of token text in each chunk, oldest chunk first.
+        size_t bytesWrittenSinceReport { 0 };
     };
 
     entry_settings m_settings;
     entry_outlets m_outlets;
     Common::ring<entry_message> m_inbox;
     std::vector<entry_message> m_batch;
-    caller_directory m_directory;
+    indexed_configuration m_configuration;
     node_status m_status;
-    std::unordered_map<uint64_t, unwritten_texts> m_unwritten;
-    std::unordered_map<Common::request_id, std::vector<searching_caller>> m_searching;
-    std::unordered_map<uint64_t, std::string> m_resumeQueries;
+    std::unordered_map<uint64_t, pending_writes> m_pendingWrites; ///< By the token of the caller.
+    std::unordered_map<Common::request_id, std::vector<waiting_caller>> m_awaitingLocation;
+    std::unordered_map<uint64_t, std::string> m_resumeQueries; ///< By caller token: URL query of each resume request without a response yet.
     Http::server m_server;
 };
 
--- a/Source/Core/Entry/OperatorApi.cpp
+++ b/Source/Core/Entry/OperatorApi.cpp
@@ -11,9 +11,9 @@
     using nlohmann::json;
     using nlohmann::ordered_json;
 
-    constexpr size_t tokenLength = 24;
+    constexpr size_t changeTokenLength = 24;
 
-    operator_answer fail(Common::failure_kind kind, const std::string& subject)
+    operator_answer failureAnswer(Common::failure_kind kind, const std::string& subject)
     {
         const Common::failure reason { kind, subject, Common::run_state::NotRun, 0 };
         return { httpStatusOf(kind), describeAsJson(reason) };
@@ -24,8 +24,8 @@
         const Common::failure reason { Common::failure_kind::InvalidChange, "change", Common::run_state::NotRun, 0 };
         ordered_json body = ordered_json::parse(describeAsJson(reason));
         body["mistakes"] = ordered_json::array();
-        for (const Configuration::mistake& item : mistakes)
-            body["mistakes"].push_back({ { "member", item.member }, { "value", item.value }, { "allowed", item.allowed } });
+        for (const Configuration::mistake& mistake : mistakes)
+            body["mistakes"].push_back({ { "member", mistake.member }, { "value", mistake.value }, { "allowed", mistake.allowed } });
         return { httpStatusOf(reason.kind), body.dump() };
     }
 
@@ -33,14 +33,14 @@
     {
         const json body = json::parse(request.body, nullptr, false);
         if (!body.is_object())
-            return fail(Common::failure_kind::MalformedRequest, "body");
-        auto item = Configuration::parseProposal(body);
-        if (!item)
-            return rejectChange(item.error());
+            return failureAnswer(Common::failure_kind::MalformedRequest, "body");
+        auto change = Configuration::parseProposal(body);
+        if (!change)
+            return rejectChange(change.error());
         Configuration::proposal proposal;
         proposal.operatorToken = request.token;
-        proposal.item = std::move(*item);
-        proposal.item.token = Configuration::generateKey().substr(0, tokenLength);
+        proposal.item = std::move(*change);
+        proposal.item.token = Configuration::generateKey().substr(0, changeTokenLength);
         proposal.item.actor = body.contains("actor") && body["actor"].is_string() ? body["actor"].get<std::string>() : "operator";
         proposal.item.madeAt = { Common::wallClockMilliseconds() };
         if (body.contains("seen_version") && body["seen_version"].is_number_unsigned())
@@ -52,13 +52,13 @@
     {
         ordered_json list = ordered_json::array();
         list.push_back({ { "node", status.node.value }, { "zone", status.zone.value }, { "status", status.isLeaving ? "leaving" : "alive" }, { "self", true } });
-        for (const auto& [id, item] : status.members) {
+        for (const auto& [id, member] : status.members) {
             list.push_back({
                 { "node", id.value },
-                { "zone", item.zone.value },
-                { "status", nameOf(item.status) },
-                { "http", item.httpAddress },
-                { "incarnation", item.incarnation.value },
+                { "zone", member.zone.value },
+                { "status", nameOf(member.status) },
+                { "http", member.httpAddress },
+                { "incarnation", member.incarnation.value },
             });
         }
         return list;
@@ -69,13 +69,13 @@
         ordered_json list = ordered_json::array();
         if (!status.endpoints)
             return list;
-        for (const Endpoints::instance_info& info : *status.endpoints) {
+        for (const Endpoints::instance_info& endpoint : *status.endpoints) {
             list.push_back({
-                { "endpoint", info.id.value },
-                { "service", info.service },
-                { "version", info.version.value },
-                { "zone", info.zone.value },
-                { "price_per_hour_micro", info.pricePerHour.value },
+                { "endpoint", endpoint.id.value },
+                { "service", endpoint.service },
+                { "version", endpoint.version.value },
+                { "zone", endpoint.zone.value },
+                { "price_per_hour_micro", endpoint.pricePerHour.value },
             });
         }
         return list;
@@ -95,10 +95,10 @@
         return { 200, body.dump() };
     }
 
-    /// Key digests are no secrets, but nobody needs them either.
-    operator_answer describeConfiguration(const caller_directory& directory)
+    /// Omits the digests of account keys: they are not secret, but operators have no use for them.
+    operator_answer describeConfiguration(const indexed_configuration& indexed)
     {
-        ordered_json body = toJson(*directory.config);
+        ordered_json body = toJson(*indexed.config);
         for (ordered_json& account : body["accounts"])
             account.erase("key_digest");
         return { 200, body.dump() };
@@ -106,26 +106,26 @@
 
 } // namespace
 
-operator_request parseOperatorRequest(const std::string& operatorKey, const node_status& status, const caller_directory& directory,
+operator_request parseOperatorRequest(const std::string& operatorKey, const node_status& status, const indexed_configuration& indexed,
     const Http::incoming_request& request)
 {
     const std::string key = bearerToken(request.headers);
     if (operatorKey.empty() || !Common::equalSecrets(key, operatorKey))
-        return fail(Common::failure_kind::Unauthorized, "authorization");
+        return failureAnswer(Common::failure_kind::Unauthorized, "authorization");
     const std::string path = request.path.substr(operatorPrefix.size());
     if (path == "changes" && request.method == "POST")
         return parseChange(request);
     if (request.method != "GET")
-        return fail(Common::failure_kind::UnknownPath, request.path);
+        return failureAnswer(Common::failure_kind::UnknownPath, request.path);
     if (path == "status")
         return describeStatus(status);
     if (path == "configuration")
-        return describeConfiguration(directory);
+        return describeConfiguration(indexed);
     if (path == "audit")
         return Audit::trail_query { request.token, { Common::parseUnsigned(Http::queryValue(request.query, "after")).value_or(0) } };
     if (path == "explain")
         return Audit::explain_query { request.token, { Http::queryValue(request.query, "request") } };
-    return fail(Common::failure_kind::UnknownPath, request.path);
+    return failureAnswer(Common::failure_kind::UnknownPath, request.path);
 }
 
 } // namespace Entry
--- a/Source/Core/Entry/OperatorApi.h
+++ b/Source/Core/Entry/OperatorApi.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What operators ask a node: changes of the configuration, status, audit trail and explanations.
+/// Parses operators' HTTP requests: configuration changes, node status, audit trail and explanations of requests.
 
 #include "Audit/AuditDuty.h"
 #include "Configuration/VersionChain.h"
@@ -12,32 +12,32 @@
 
 namespace Entry {
 
-/// What a node knows of itself and its surroundings, for the status page.
+/// State of this node and of the members and endpoints that it sees, for the status response.
 struct node_status {
     Common::node_id node;
     Common::zone_name zone;
     Common::region_name region;
-    bool isLeaving { false };
+    bool isLeaving { false }; ///< Whether the node is shutting down and must not get new callers.
     Common::config_version configuration;
     Membership::member_map members;
-    Endpoints::endpoint_list endpoints;
+    Endpoints::endpoint_list endpoints; ///< Null until the first list arrives.
 };
 
-/// An answer that needs no other duty.
+/// A response that the entry duty can send without another duty.
 struct operator_answer {
     int status { 200 };
     std::string body;
 };
 
-/// What an operator's request comes to.
+/// A parsed operator request: a response, or a message for the configuration or audit duty.
 using operator_request = std::variant<operator_answer, Configuration::proposal, Audit::explain_query, Audit::trail_query>;
 
-/// @param operatorKey the key that operators present.
-/// @param status what the node knows.
-/// @param directory the configuration in force.
-/// @param request a request below the operators' path.
-/// @return the answer, or the message to the duty that has it.
-operator_request parseOperatorRequest(const std::string& operatorKey, const node_status& status, const caller_directory& directory,
+/// @param operatorKey the operators' key; when empty, every request is rejected.
+/// @param status state of the node.
+/// @param indexed the current configuration.
+/// @param request a request to a path under operatorPrefix.
+/// @return the response, or the message to the duty that will produce it.
+operator_request parseOperatorRequest(const std::string& operatorKey, const node_status& status, const indexed_configuration& indexed,
     const Http::incoming_request& request);
 
 constexpr std::string_view operatorPrefix = "/operator/v1/";
