--- a/Source/Core/Http/Client.cpp
+++ b/Source/Core/Http/Client.cpp
@@ -32,9 +32,9 @@
         }
     };
 
-    size_t takeBytes(char* bytes, size_t, size_t count, void* user)
+    size_t receiveBytes(char* bytes, size_t, size_t count, void* userData)
     {
-        auto& item = *static_cast<transfer*>(user);
+        auto& item = *static_cast<transfer*>(userData);
         if (item.isPaused)
             return CURL_WRITEFUNC_PAUSE;
         item.received += count;
@@ -63,7 +63,7 @@
     {
         for (const header& line : item.request.headers)
             item.headerLines = curl_slist_append(item.headerLines, (line.name + ": " + line.value).c_str());
-        // Without this line libcurl waits a second for "100 Continue" before it sends a large body.
+        // Without this header line libcurl waits a second for "100 Continue" before it sends a large body.
         item.headerLines = curl_slist_append(item.headerLines, "Expect:");
         curl_easy_setopt(item.handle, CURLOPT_HTTPHEADER, item.headerLines);
     }
@@ -72,7 +72,7 @@
     {
         curl_easy_setopt(item.handle, CURLOPT_URL, item.request.url.c_str());
         curl_easy_setopt(item.handle, CURLOPT_PRIVATE, &item);
-        curl_easy_setopt(item.handle, CURLOPT_WRITEFUNCTION, takeBytes);
+        curl_easy_setopt(item.handle, CURLOPT_WRITEFUNCTION, receiveBytes);
         curl_easy_setopt(item.handle, CURLOPT_WRITEDATA, &item);
         curl_easy_setopt(item.handle, CURLOPT_NOSIGNAL, 1L);
         curl_easy_setopt(item.handle, CURLOPT_TCP_NODELAY, 1L);
@@ -103,49 +103,49 @@
     uint64_t countBytes(CURL* handle)
     {
         long requestBytes = 0;
-        long headBytes = 0;
+        long headerBytes = 0;
         curl_off_t bodyBytes = 0;
         curl_off_t sentBytes = 0;
         curl_easy_getinfo(handle, CURLINFO_REQUEST_SIZE, &requestBytes);
-        curl_easy_getinfo(handle, CURLINFO_HEADER_SIZE, &headBytes);
+        curl_easy_getinfo(handle, CURLINFO_HEADER_SIZE, &headerBytes);
         curl_easy_getinfo(handle, CURLINFO_SIZE_DOWNLOAD_T, &bodyBytes);
         curl_easy_getinfo(handle, CURLINFO_SIZE_UPLOAD_T, &sentBytes);
-        return static_cast<uint64_t>(requestBytes + headBytes + bodyBytes + sentBytes);
+        return static_cast<uint64_t>(requestBytes + headerBytes + bodyBytes + sentBytes);
     }
 
 } // namespace
 
-/// libcurl's event interface over epoll: the cost of a round follows the sockets with events, not all transfers.
+/// Runs libcurl's socket interface on epoll, so that poll() costs time per ready socket, not per transfer.
 struct client::implementation {
     CURLM* multi { nullptr };
-    int eventHandle { -1 };
-    int wakeHandle { -1 };
+    int epollDescriptor { -1 };
+    int wakeDescriptor { -1 };
     std::optional<std::chrono::steady_clock::time_point> timerDue;
     transfer_id lastId { 0 };
     std::unordered_map<transfer_id, std::unique_ptr<transfer>> transfers;
 
-    static int watchSocket(CURL*, curl_socket_t socket, int what, void* user, void* known)
+    static int watchSocket(CURL*, curl_socket_t socket, int action, void* userData, void* assigned)
     {
-        auto& self = *static_cast<implementation*>(user);
-        if (what == CURL_POLL_REMOVE) {
-            epoll_ctl(self.eventHandle, EPOLL_CTL_DEL, socket, nullptr);
+        auto& self = *static_cast<implementation*>(userData);
+        if (action == CURL_POLL_REMOVE) {
+            epoll_ctl(self.epollDescriptor, EPOLL_CTL_DEL, socket, nullptr);
             return 0;
         }
         epoll_event event {};
         event.data.fd = socket;
-        if (what != CURL_POLL_OUT)
+        if (action != CURL_POLL_OUT)
             event.events |= EPOLLIN;
-        if (what != CURL_POLL_IN)
+        if (action != CURL_POLL_IN)
             event.events |= EPOLLOUT;
-        const int operation = known ? EPOLL_CTL_MOD : EPOLL_CTL_ADD;
-        epoll_ctl(self.eventHandle, operation, socket, &event);
+        const int operation = assigned ? EPOLL_CTL_MOD : EPOLL_CTL_ADD;
+        epoll_ctl(self.epollDescriptor, operation, socket, &event);
         curl_multi_assign(self.multi, socket, &self);
         return 0;
     }
 
-    static int setTimer(CURLM*, long milliseconds, void* user)
+    static int setTimer(CURLM*, long milliseconds, void* userData)
     {
-        auto& self = *static_cast<implementation*>(user);
+        auto& self = *static_cast<implementation*>(userData);
         if (milliseconds < 0)
             self.timerDue.reset();
         else
@@ -160,27 +160,27 @@
         curl_multi_setopt(multi, CURLMOPT_SOCKETDATA, this);
         curl_multi_setopt(multi, CURLMOPT_TIMERFUNCTION, setTimer);
         curl_multi_setopt(multi, CURLMOPT_TIMERDATA, this);
-        eventHandle = epoll_create1(EPOLL_CLOEXEC);
-        wakeHandle = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
+        epollDescriptor = epoll_create1(EPOLL_CLOEXEC);
+        wakeDescriptor = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
         epoll_event event {};
         event.events = EPOLLIN;
-        event.data.fd = wakeHandle;
-        epoll_ctl(eventHandle, EPOLL_CTL_ADD, wakeHandle, &event);
+        event.data.fd = wakeDescriptor;
+        epoll_ctl(epollDescriptor, EPOLL_CTL_ADD, wakeDescriptor, &event);
     }
 
-    int waitMilliseconds(std::chrono::milliseconds longest) const
+    int waitMilliseconds(std::chrono::milliseconds maxWait) const
     {
         if (!timerDue)
-            return static_cast<int>(longest.count());
-        const auto left = std::chrono::ceil<std::chrono::milliseconds>(*timerDue - std::chrono::steady_clock::now());
-        return static_cast<int>(std::clamp(left, std::chrono::milliseconds(0), longest).count());
+            return static_cast<int>(maxWait.count());
+        const auto remaining = std::chrono::ceil<std::chrono::milliseconds>(*timerDue - std::chrono::steady_clock::now());
+        return static_cast<int>(std::clamp(remaining, std::chrono::milliseconds(0), maxWait).count());
     }
 
     void handleEvent(const epoll_event& event)
     {
-        if (event.data.fd == wakeHandle) {
-            uint64_t wakes = 0;
-            static_cast<void>(!read(wakeHandle, &wakes, sizeof(wakes)));
+        if (event.data.fd == wakeDescriptor) {
+            uint64_t wakeCount = 0;
+            static_cast<void>(!read(wakeDescriptor, &wakeCount, sizeof(wakeCount)));
             return;
         }
         int flags = 0;
@@ -203,15 +203,15 @@
         curl_multi_socket_action(multi, CURL_SOCKET_TIMEOUT, 0, &running);
     }
 
-    std::unique_ptr<transfer> take(transfer_id id)
+    std::unique_ptr<transfer> remove(transfer_id id)
     {
         const auto found = transfers.find(id);
         if (found == transfers.end())
             return nullptr;
-        std::unique_ptr<transfer> taken = std::move(found->second);
+        std::unique_ptr<transfer> removed = std::move(found->second);
         transfers.erase(found);
-        curl_multi_remove_handle(multi, taken->handle);
-        return taken;
+        curl_multi_remove_handle(multi, removed->handle);
+        return removed;
     }
 
     void finish(CURL* handle, CURLcode code)
@@ -225,9 +225,9 @@
         const char* redirectUrl = nullptr;
         curl_easy_getinfo(handle, CURLINFO_REDIRECT_URL, &redirectUrl);
         answer.redirectUrl = redirectUrl ? redirectUrl : "";
-        const std::unique_ptr<transfer> taken = take(item->id);
-        answer.body = std::move(taken->body);
-        taken->onEnd(std::move(answer));
+        const std::unique_ptr<transfer> removed = remove(item->id);
+        answer.body = std::move(removed->body);
+        removed->onEnd(std::move(answer));
     }
 };
 
@@ -244,8 +244,8 @@
     while (!m_implementation->transfers.empty())
         cancel(m_implementation->transfers.begin()->first);
     curl_multi_cleanup(m_implementation->multi);
-    close(m_implementation->eventHandle);
-    close(m_implementation->wakeHandle);
+    close(m_implementation->epollDescriptor);
+    close(m_implementation->wakeDescriptor);
 }
 
 transfer_id client::start(outgoing_request request, end_handler onEnd, data_handler onData)
@@ -265,7 +265,7 @@
 
 void client::cancel(transfer_id id)
 {
-    m_implementation->take(id);
+    m_implementation->remove(id);
 }
 
 void client::pause(transfer_id id)
@@ -284,11 +284,11 @@
     curl_easy_pause(found->second->handle, CURLPAUSE_CONT);
 }
 
-void client::poll(std::chrono::milliseconds longest)
+void client::poll(std::chrono::milliseconds maxWait)
 {
     constexpr int maxEvents = 256;
     std::array<epoll_event, maxEvents> events {};
-    const int count = epoll_wait(m_implementation->eventHandle, events.data(), maxEvents, m_implementation->waitMilliseconds(longest));
+    const int count = epoll_wait(m_implementation->epollDescriptor, events.data(), maxEvents, m_implementation->waitMilliseconds(maxWait));
     for (int index = 0; index < count; ++index)
         m_implementation->handleEvent(events[index]);
     m_implementation->runTimer();
@@ -303,7 +303,7 @@
 void client::wake()
 {
     const uint64_t one = 1;
-    static_cast<void>(!write(m_implementation->wakeHandle, &one, sizeof(one)));
+    static_cast<void>(!write(m_implementation->wakeDescriptor, &one, sizeof(one)));
 }
 
 size_t client::active() const
--- a/Source/Core/Http/Client.h
+++ b/Source/Core/Http/Client.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Concurrent HTTP transfers of one thread over libcurl's multi interface.
+/// Concurrent HTTP transfers on one thread, using libcurl's multi interface.
 
 #include "Http/Server.h"
 
@@ -17,9 +17,9 @@
 
 /// How a transfer ended.
 enum class transfer_end {
-    Complete, ///< An answer arrived whole.
-    NotSent, ///< Proven: no byte of the request left this machine.
-    Cut, ///< The connection broke after bytes may have been sent.
+    Complete, ///< The complete response was received; its status may still be an error.
+    NotSent, ///< Certain: no byte of the request left this machine, so it is safe to retry.
+    Cut, ///< The connection failed after bytes may have been sent.
     TimedOut, ///< The time limit passed after bytes may have been sent.
 };
 
@@ -30,8 +30,8 @@
     std::string body;
     std::chrono::milliseconds timeLimit { 30000 };
     std::chrono::milliseconds connectLimit { 1000 };
-    /// libcurl repeats a request by itself when a reused connection turns out dead. A request that may
-    /// not be repeated needs a connection of its own.
+    /// libcurl resends a request on its own when a reused connection turns out to be closed. A request that must not be
+    /// sent twice gets a new connection.
     bool mayRepeat { true };
     uint64_t maxAnswerBytes { uint64_t { 16 } * 1024 * 1024 };
 };
@@ -39,14 +39,14 @@
 struct transfer_answer {
     transfer_end end { transfer_end::NotSent };
     long status { 0 };
-    std::string body; ///< Empty when a data handler took the bytes.
-    uint64_t wireBytes { 0 }; ///< Heads and bodies of request and answer.
-    std::string redirectUrl; ///< Where a redirect points; it is not followed.
+    std::string body; ///< Empty when the transfer has a data handler.
+    uint64_t wireBytes { 0 }; ///< Bytes of the headers and bodies of request and response.
+    std::string redirectUrl; ///< Target of a redirect response, otherwise empty; redirects are not followed.
 };
 
 using transfer_id = uint64_t;
 
-/// Transfers of one thread; only wake() may be called from another.
+/// An HTTP client for one thread; only wake() may be called from other threads.
 class client {
 public:
     using data_handler = std::function<void(long status, std::string_view bytes)>;
@@ -57,23 +57,24 @@
     client(const client&) = delete;
     client& operator=(const client&) = delete;
 
-    /// Starts a transfer.
-    /// @param request what to send.
-    /// @param onEnd called once, from poll(), unless the transfer is cancelled.
-    /// @param onData when set, receives the body as it arrives.
-    /// @return its id.
+    /// Starts a transfer, which progresses in poll().
+    /// @param request the request to send.
+    /// @param onEnd called once from poll(), unless the transfer is cancelled.
+    /// @param onData when set, receives the parts of the body as they arrive.
+    /// @return the id of the transfer.
     transfer_id start(outgoing_request request, end_handler onEnd, data_handler onData = {});
-    /// Ends a transfer and closes its connection; its handlers are not called again.
+    /// Aborts a transfer and closes its connection; its handlers are not called again.
     void cancel(transfer_id id);
-    /// Stops reading a transfer, so that its sender is slowed by TCP.
+    /// Stops reading a transfer's response, so that TCP flow control slows down the sender.
     void pause(transfer_id id);
-    /// Reads a paused transfer on.
+    /// Continues to read a paused transfer.
     void resume(transfer_id id);
-    /// Waits for network events or wake(), then runs the handlers that are due.
-    void poll(std::chrono::milliseconds longest);
-    /// Ends the present poll() early.
+    /// Waits for network events or wake(), then calls the handlers of transfers that progressed.
+    /// @param maxWait maximum time to wait.
+    void poll(std::chrono::milliseconds maxWait);
+    /// Makes the current or next poll() return early.
     void wake();
-    /// @return the transfers under way.
+    /// @return number of transfers in progress, paused ones included.
     size_t active() const;
 
 private:
--- a/Source/Core/Http/Server.cpp
+++ b/Source/Core/Http/Server.cpp
@@ -9,20 +9,20 @@
 namespace {
 
     struct server_traits : public restinio::default_single_thread_traits_t {
-        static constexpr bool use_connection_count_limiter = true; // NOLINT(readability-identifier-naming): RESTinio looks for this name.
+        static constexpr bool use_connection_count_limiter = true; // NOLINT(readability-identifier-naming): RESTinio requires this name.
     };
 
     using stream_builder = restinio::response_builder_t<restinio::chunked_output_t>;
 
-    /// RESTinio counts the time until the whole answer is written, and a streamed answer may take this long.
-    constexpr std::chrono::hours answerTimeLimit { 2 };
+    /// RESTinio measures this timeout until the whole response is written, so it must allow for long streams.
+    constexpr std::chrono::hours responseTimeLimit { 2 };
 
-    bool equalsLowerCase(std::string_view text, std::string_view lowerCase)
+    bool equalsIgnoringCase(std::string_view text, std::string_view lowerCaseText)
     {
-        if (text.size() != lowerCase.size())
+        if (text.size() != lowerCaseText.size())
             return false;
         for (size_t index = 0; index < text.size(); ++index) {
-            if (std::tolower(static_cast<unsigned char>(text[index])) != lowerCase[index])
+            if (std::tolower(static_cast<unsigned char>(text[index])) != lowerCaseText[index])
                 return false;
         }
         return true;
@@ -32,9 +32,9 @@
 
 std::string_view findHeader(const std::vector<header>& headers, std::string_view name)
 {
-    for (const header& line : headers) {
-        if (equalsLowerCase(line.name, name))
-            return line.value;
+    for (const header& field : headers) {
+        if (equalsIgnoringCase(field.name, name))
+            return field.value;
     }
     return {};
 }
@@ -54,7 +54,7 @@
 }
 
 struct server::implementation {
-    struct open_answer {
+    struct open_request {
         restinio::request_handle_t request;
         std::unique_ptr<stream_builder> stream;
     };
@@ -63,10 +63,10 @@
     request_handler onRequest;
     write_observer onWritten;
     restinio::asio_ns::io_context context { 1 };
-    std::unordered_map<uint64_t, open_answer> answers;
+    std::unordered_map<uint64_t, open_request> openRequests;
     uint64_t lastToken { 0 };
 
-    restinio::request_handling_status_t take(const restinio::request_handle_t& request)
+    restinio::request_handling_status_t handleRequest(const restinio::request_handle_t& request)
     {
         incoming_request incoming;
         incoming.token = { ++lastToken };
@@ -79,7 +79,7 @@
             incoming.headers.push_back({ field.name(), field.value() });
         });
         incoming.body = request->body();
-        answers.emplace(lastToken, open_answer { request, nullptr });
+        openRequests.emplace(lastToken, open_request { request, nullptr });
         onRequest(std::move(incoming));
         return restinio::request_accepted();
     }
@@ -104,13 +104,13 @@
         limits.max_field_name_size(settings.maxHeaderBytes);
         limits.max_field_value_size(settings.maxHeaderBytes);
         limits.max_url_size(settings.maxHeaderBytes);
-        restinio::server_settings_t<server_traits> made;
-        made.address(address)
+        restinio::server_settings_t<server_traits> serverSettings;
+        serverSettings.address(address)
             .port(port)
-            .request_handler([this](const restinio::request_handle_t& request) { return take(request); })
+            .request_handler([this](const restinio::request_handle_t& request) { return handleRequest(request); })
             .read_next_http_message_timelimit(settings.readTimeout)
             .write_http_response_timelimit(settings.writeTimeout)
-            .handle_request_timeout(answerTimeLimit)
+            .handle_request_timeout(responseTimeLimit)
             .max_pipelined_requests(1)
             .incoming_http_msg_limits(limits)
             .max_parallel_connections(settings.maxConnections)
@@ -120,7 +120,7 @@
             .socket_options_setter([](auto& options) {
                 options.set_option(restinio::asio_ns::ip::tcp::no_delay(true));
             });
-        return made;
+        return serverSettings;
     }
 };
 
@@ -136,15 +136,15 @@
 
 void server::run()
 {
-    std::vector<std::unique_ptr<restinio::http_server_t<server_traits>>> served;
+    std::vector<std::unique_ptr<restinio::http_server_t<server_traits>>> listeners;
     for (const auto& [address, port] : m_implementation->listenAddresses()) {
-        served.push_back(std::make_unique<restinio::http_server_t<server_traits>>(
+        listeners.push_back(std::make_unique<restinio::http_server_t<server_traits>>(
             restinio::external_io_context(m_implementation->context), m_implementation->makeSettings(address, port)));
-        served.back()->open_sync();
+        listeners.back()->open_sync();
     }
-    const auto keepRunning = restinio::asio_ns::make_work_guard(m_implementation->context);
+    const auto workGuard = restinio::asio_ns::make_work_guard(m_implementation->context);
     m_implementation->context.run();
-    m_implementation->answers.clear();
+    m_implementation->openRequests.clear();
 }
 
 void server::stop()
@@ -168,41 +168,41 @@
 
 void server::respond(Common::caller_token token, int status, const std::vector<header>& headers, std::string body)
 {
-    const auto found = m_implementation->answers.find(token.value);
-    if (found == m_implementation->answers.end())
+    const auto found = m_implementation->openRequests.find(token.value);
+    if (found == m_implementation->openRequests.end())
         return;
     auto response = found->second.request->create_response(restinio::http_status_line_t {
         restinio::http_status_code_t { static_cast<uint16_t>(status) }, "" });
-    for (const header& line : headers)
-        response.append_header(line.name, line.value);
+    for (const header& field : headers)
+        response.append_header(field.name, field.value);
     response.set_body(std::move(body));
-    m_implementation->answers.erase(found);
+    m_implementation->openRequests.erase(found);
     response.done();
 }
 
 void server::beginStream(Common::caller_token token, int status, const std::vector<header>& headers)
 {
-    const auto found = m_implementation->answers.find(token.value);
-    if (found == m_implementation->answers.end())
+    const auto found = m_implementation->openRequests.find(token.value);
+    if (found == m_implementation->openRequests.end())
         return;
     const restinio::http_status_line_t line { restinio::http_status_code_t { static_cast<uint16_t>(status) }, "" };
     auto response = found->second.request->create_response<restinio::chunked_output_t>(line);
-    for (const header& item : headers)
-        response.append_header(item.name, item.value);
+    for (const header& field : headers)
+        response.append_header(field.name, field.value);
     response.flush();
     found->second.stream = std::make_unique<stream_builder>(std::move(response));
 }
 
 void server::writeChunk(Common::caller_token token, std::string bytes)
 {
-    const auto found = m_implementation->answers.find(token.value);
-    if (found == m_implementation->answers.end() || !found->second.stream)
+    const auto found = m_implementation->openRequests.find(token.value);
+    if (found == m_implementation->openRequests.end() || !found->second.stream)
         return;
     const size_t size = bytes.size();
     found->second.stream->append_chunk(std::move(bytes));
     found->second.stream->flush([this, token, size](const auto& error) {
         if (error)
-            m_implementation->answers.erase(token.value);
+            m_implementation->openRequests.erase(token.value);
         if (m_implementation->onWritten)
             m_implementation->onWritten(token, size, !error);
     });
@@ -210,25 +210,25 @@
 
 void server::endStream(Common::caller_token token)
 {
-    const auto found = m_implementation->answers.find(token.value);
-    if (found == m_implementation->answers.end() || !found->second.stream)
+    const auto found = m_implementation->openRequests.find(token.value);
+    if (found == m_implementation->openRequests.end() || !found->second.stream)
         return;
     const auto stream = std::move(found->second.stream);
-    m_implementation->answers.erase(found);
+    m_implementation->openRequests.erase(found);
     stream->done();
 }
 
 void server::cutAnswer(Common::caller_token token)
 {
-    const auto found = m_implementation->answers.find(token.value);
-    if (found == m_implementation->answers.end())
+    const auto found = m_implementation->openRequests.find(token.value);
+    if (found == m_implementation->openRequests.end())
         return;
-    constexpr size_t promisedBytes = 1024;
+    constexpr size_t announcedBytes = 1024;
     auto response = found->second.request->create_response<restinio::user_controlled_output_t>();
-    response.set_content_length(promisedBytes);
+    response.set_content_length(announcedBytes);
     response.connection_close();
     response.append_body("cut");
-    m_implementation->answers.erase(found);
+    m_implementation->openRequests.erase(found);
     response.done();
 }
 
--- a/Source/Core/Http/Server.h
+++ b/Source/Core/Http/Server.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// A small face over RESTinio, so that its header is compiled once.
+/// An HTTP server that hides RESTinio, so that only Server.cpp compiles its headers.
 
 #include "Common/Ids.h"
 
@@ -15,13 +15,13 @@
 
 namespace Http {
 
-/// One header line.
+/// An HTTP header field.
 struct header {
     std::string name;
     std::string value;
 };
 
-/// A request as it arrived, whole.
+/// A complete request as received.
 struct incoming_request {
     Common::caller_token token;
     std::string method;
@@ -31,20 +31,20 @@
     std::string body;
 };
 
-/// @param headers the lines to search.
+/// @param headers the header fields to search; their names may have any case.
 /// @param name lower-case header name.
-/// @return the first value, or an empty text.
+/// @return the value of the first match, or an empty text. It refers to @p headers.
 std::string_view findHeader(const std::vector<header>& headers, std::string_view name);
 
-/// @param query the part of the target after '?'.
+/// @param query the part of the request target after '?'.
 /// @param name the parameter to find.
-/// @return its value as written, or an empty text.
+/// @return its value without percent-decoding, or an empty text.
 std::string queryValue(std::string_view query, std::string_view name);
 
 struct server_settings {
     std::string address { "127.0.0.1" };
     uint16_t port { 0 };
-    std::vector<std::string> listen; ///< IP numbers and ports; replaces address and port when set.
+    std::vector<std::string> listen; ///< Addresses as "IP:port"; when not empty, used instead of address and port.
     uint64_t maxBodyBytes { uint64_t { 1024 } * 1024 };
     size_t maxHeaderCount { 64 };
     size_t maxHeaderBytes { 8192 };
@@ -53,36 +53,37 @@
     std::chrono::milliseconds writeTimeout { 30000 };
 };
 
-/// An HTTP server on one thread. All methods but post() and stop() belong to that thread.
+/// An HTTP server on the thread that calls run(). Only post() and stop() may be called from other threads.
 class server {
 public:
     using request_handler = std::function<void(incoming_request&&)>;
-    /// Told after each chunk of a stream: its token, the bytes written and whether the caller is still there.
-    using write_observer = std::function<void(Common::caller_token, size_t bytes, bool alive)>;
+    /// Called after each chunk of a stream was written or failed: its token, the size of the chunk, and false once the
+    /// connection to the caller has failed.
+    using write_observer = std::function<void(Common::caller_token, size_t bytes, bool isConnected)>;
 
     server(const server_settings& settings, request_handler onRequest, write_observer onWritten = {});
     ~server();
     server(const server&) = delete;
     server& operator=(const server&) = delete;
 
-    /// Serves until stop(). Throws std::exception when the address can't be bound.
+    /// Serves requests until stop() is called. Throws std::exception when an address can't be bound.
     void run();
-    /// Ends run(); may be called from any thread.
+    /// Makes run() return; may be called from any thread.
     void stop();
     /// Runs a task on the server's thread; may be called from any thread.
     void post(std::function<void()> task);
     /// Runs a task on the server's thread after a delay.
     void runAfter(std::chrono::milliseconds delay, std::function<void()> task);
 
-    /// Answers whole. A token that is gone is ignored.
+    /// Sends a complete response. A token without an open request is ignored, here and in the methods below.
     void respond(Common::caller_token token, int status, const std::vector<header>& headers, std::string body);
-    /// Sends the head of a streamed answer.
+    /// Sends the status line and the headers of a chunked response.
     void beginStream(Common::caller_token token, int status, const std::vector<header>& headers);
-    /// Sends one chunk of a streamed answer.
+    /// Sends one chunk of a chunked response.
     void writeChunk(Common::caller_token token, std::string bytes);
-    /// Ends a streamed answer.
+    /// Ends a chunked response.
     void endStream(Common::caller_token token);
-    /// Promises a longer answer than it sends and closes the connection, so that the caller sees a cut.
+    /// Sends less than its Content-Length and closes the connection, so that the caller sees a truncated response.
     void cutAnswer(Common::caller_token token);
 
 private:
