--- a/Source/Core/Common/BootClock.h
+++ b/Source/Core/Common/BootClock.h
@@ -1,13 +1,13 @@
 #pragma once
 
 /// @file
-/// A steady clock that also counts the time for which a machine is suspended.
+/// A monotonic clock that also advances while the machine is suspended.
 
 #include "Common/Ids.h"
 
 namespace Common {
 
-/// @return time since the machine's start, sleep included.
+/// @return time since the machine booted, including time in suspend (CLOCK_BOOTTIME).
 instant bootClockNow();
 
 } // namespace Common
--- a/Source/Core/Common/Failure.cpp
+++ b/Source/Core/Common/Failure.cpp
@@ -71,14 +71,14 @@
     return "unknown";
 }
 
-std::string describeAsJson(const failure& item)
+std::string describeAsJson(const failure& reason)
 {
     nlohmann::ordered_json error;
-    error["code"] = nameOf(item.kind);
-    error["subject"] = item.subject;
-    error["run"] = nameOf(item.run);
-    if (item.retryAfterSeconds > 0)
-        error["retry_after_s"] = item.retryAfterSeconds;
+    error["code"] = nameOf(reason.kind);
+    error["subject"] = reason.subject;
+    error["run"] = nameOf(reason.run);
+    if (reason.retryAfterSeconds > 0)
+        error["retry_after_s"] = reason.retryAfterSeconds;
     nlohmann::ordered_json body;
     body["error"] = std::move(error);
     return body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
--- a/Source/Core/Common/Failure.h
+++ b/Source/Core/Common/Failure.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The failures of the system. Every failure that a caller or an operator sees has a kind from this list.
+/// Failure kinds of the system. Every failure reported to a caller or an operator has one of these kinds.
 
 #include <string>
 #include <string_view>
@@ -33,38 +33,38 @@
     DeadlineExceeded,
 };
 
-/// What is known of the work behind a failed request.
+/// Whether an endpoint executed the work of a failed request.
 enum class run_state {
-    NotRun, ///< Proven: no endpoint began the work.
-    Ran, ///< The work ran and its answer is the failure.
+    NotRun, ///< Certain: no endpoint started the work.
+    Ran, ///< An endpoint ran the work; the failure is its result.
     Unknown, ///< The work may or may not have run.
 };
 
-/// One failure with what its reader needs to act on it.
+/// A failure with the details that a caller needs to handle it.
 struct failure {
     failure_kind kind;
-    std::string subject; ///< The thing that failed: a name, a path, an id. Never a secret.
+    std::string subject; ///< Name, path or id of the object that failed. Must not contain a secret.
     run_state run { run_state::NotRun };
-    int retryAfterSeconds { 0 }; ///< When to come back; zero when coming back does not help.
+    int retryAfterSeconds { 0 }; ///< Delay before a retry; zero when a retry does not help.
 };
 
 template <typename value_type>
 using result = tl::expected<value_type, failure>;
 
 /// @param kind any failure kind.
-/// @return its stable name in answers and logs.
+/// @return its stable identifier in responses and logs.
 std::string_view nameOf(failure_kind kind);
 
 /// @param kind any failure kind.
-/// @return the HTTP status that carries it.
+/// @return the HTTP status code of a response with this failure.
 int httpStatusOf(failure_kind kind);
 
 /// @param run any run state.
-/// @return its stable name in answers and logs.
+/// @return its stable identifier in responses and logs.
 std::string_view nameOf(run_state run);
 
-/// @param item the failure to describe.
+/// @param reason the failure to describe.
 /// @return the JSON error body that callers and operators receive.
-std::string describeAsJson(const failure& item);
+std::string describeAsJson(const failure& reason);
 
 } // namespace Common
--- a/Source/Core/Common/Ids.h
+++ b/Source/Core/Common/Ids.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Identifiers and units that cross module boundaries.
+/// Identifiers and units shared by several modules.
 
 #include "Common/StrongType.h"
 
@@ -22,19 +22,19 @@
 using route_name = strong_type<struct route_name_tag, std::string>;
 using version_name = strong_type<struct version_name_tag, std::string>;
 
-/// Number of times a node has been started or has refuted a rumour of its death.
+/// Number of times a node has started or has refuted a false report of its death.
 using incarnation_number = strong_type<struct incarnation_tag, uint64_t>;
-/// Position of a change in the configuration's chain; zero is the empty configuration.
+/// Sequence number of a configuration change; zero is the empty configuration before the first change.
 using config_version = strong_type<struct config_version_tag, uint64_t>;
-/// One caller connection waiting for an answer at this node.
+/// Identifies a caller's request that waits for a response from this node; local to the process.
 using caller_token = strong_type<struct caller_token_tag, uint64_t>;
-/// One attempt of a request at an endpoint; unique within a node incarnation.
+/// Number of one attempt to run a request on an endpoint; unique within a node incarnation.
 using attempt_number = strong_type<struct attempt_number_tag, uint64_t>;
 
-/// Money in millionths of the currency unit that an operator writes prices in.
+/// Money in millionths of the currency unit in which operators write prices.
 using micro_money = strong_type<struct micro_money_tag, int64_t>;
 
-/// Monotonic time. Decisions receive it as an argument and never read a clock.
+/// Monotonic time. Decision functions take it as an argument and never read a clock.
 using instant = std::chrono::steady_clock::time_point;
 using duration = std::chrono::steady_clock::duration;
 /// Wall-clock milliseconds since the epoch, for records that outlive a process.
--- a/Source/Core/Common/Log.cpp
+++ b/Source/Core/Common/Log.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-    std::string loggedNode;
+    std::string nodeName;
 
     log4cplus::Logger& rootLogger()
     {
@@ -56,7 +56,7 @@
         return "info";
     }
 
-    /// Prints the message alone: logEvent has already built the JSON object.
+    /// Writes only the message, because logEvent() has already formatted the JSON object.
     class json_line_layout final : public log4cplus::Layout {
     public:
         void formatAndAppend(log4cplus::tostream& output, const log4cplus::spi::InternalLoggingEvent& event) override
@@ -65,23 +65,23 @@
         }
     };
 
-    /// Lines that wait for the writer at most; further ones are dropped and counted.
-    constexpr size_t waitingLines = 8192;
-    /// The writer gathers lines for so long, so that many go out in one call.
-    constexpr std::chrono::milliseconds gatherTime { 100 };
+    /// Most lines that wait for the writer thread; further ones are dropped and counted.
+    constexpr size_t maxQueuedLines = 8192;
+    /// The writer thread collects lines for this long, so that it writes many with one call.
+    constexpr std::chrono::milliseconds batchInterval { 100 };
 
-    /// Lines of one kind within the present second.
-    struct kind_budget {
-        std::chrono::steady_clock::time_point second;
+    /// Lines of one event name in the current one-second window.
+    struct event_rate {
+        std::chrono::steady_clock::time_point windowStart;
         uint32_t lines { 0 };
-        uint64_t leftOut { 0 };
+        uint64_t dropped { 0 };
     };
 
-    /// Hands lines to the library on a thread of its own.
+    /// Passes lines to log4cplus on a separate thread.
     class line_writer {
     public:
         line_writer()
-            : m_waiting(waitingLines)
+            : m_queue(maxQueuedLines)
             , m_thread([this] { run(); })
         {
         }
@@ -92,54 +92,56 @@
                 const std::lock_guard guard(m_mutex);
                 m_isStopping = true;
             }
-            m_awake.notify_one();
+            m_condition.notify_one();
             m_thread.join();
         }
 
         line_writer(const line_writer&) = delete;
         line_writer& operator=(const line_writer&) = delete;
 
-        /// @param leftOut receives how many lines of the kind were left out before this one.
-        /// @return whether a line of this kind may be written now.
-        bool admit(const std::string& kind, uint64_t& leftOut)
+        /// Checks the rate limit of an event and the capacity of the queue.
+        /// @param event name of the event to log.
+        /// @param dropped receives the number of lines of this event dropped since its last written line.
+        /// @return whether the line may be queued; if not, it is counted as dropped.
+        bool admit(const std::string& event, uint64_t& dropped)
         {
             const auto now = std::chrono::steady_clock::now();
             const std::lock_guard guard(m_mutex);
-            kind_budget& budget = m_budgets[kind];
-            if (now - budget.second >= std::chrono::seconds(1)) {
-                budget.second = now;
-                budget.lines = 0;
+            event_rate& rate = m_rates[event];
+            if (now - rate.windowStart >= std::chrono::seconds(1)) {
+                rate.windowStart = now;
+                rate.lines = 0;
             }
-            if (budget.lines >= linesPerKindAndSecond || m_waiting.full()) {
-                ++budget.leftOut;
+            if (rate.lines >= maxLinesPerEventAndSecond || m_queue.full()) {
+                ++rate.dropped;
                 return false;
             }
-            ++budget.lines;
-            leftOut = std::exchange(budget.leftOut, 0);
+            ++rate.lines;
+            dropped = std::exchange(rate.dropped, 0);
             return true;
         }
 
         void push(std::string line)
         {
             const std::lock_guard guard(m_mutex);
-            const bool wasEmpty = m_waiting.empty();
-            m_waiting.push_back(std::move(line));
+            const bool wasEmpty = m_queue.empty();
+            m_queue.push_back(std::move(line));
             if (wasEmpty)
-                m_awake.notify_one();
+                m_condition.notify_one();
         }
 
         void flush()
         {
-            const std::lock_guard writing(m_writing);
+            const std::lock_guard writeGuard(m_writeMutex);
             std::string batch;
             {
                 const std::lock_guard guard(m_mutex);
-                for (const std::string& line : m_waiting) {
+                for (const std::string& line : m_queue) {
                     if (!batch.empty())
                         batch += '\n';
                     batch += line;
                 }
-                m_waiting.clear();
+                m_queue.clear();
             }
             if (!batch.empty())
                 rootLogger().log(log4cplus::ERROR_LOG_LEVEL, batch);
@@ -151,36 +153,36 @@
             while (true) {
                 {
                     std::unique_lock lock(m_mutex);
-                    m_awake.wait(lock, [this] { return m_isStopping || !m_waiting.empty(); });
+                    m_condition.wait(lock, [this] { return m_isStopping || !m_queue.empty(); });
                     if (!m_isStopping)
-                        m_awake.wait_for(lock, gatherTime, [this] { return m_isStopping; });
+                        m_condition.wait_for(lock, batchInterval, [this] { return m_isStopping; });
                 }
                 flush();
                 const std::lock_guard guard(m_mutex);
-                if (m_isStopping && m_waiting.empty())
+                if (m_isStopping && m_queue.empty())
                     return;
             }
         }
 
         std::mutex m_mutex;
-        std::mutex m_writing;
-        std::condition_variable m_awake;
-        boost::circular_buffer<std::string> m_waiting;
-        std::map<std::string, kind_budget> m_budgets;
+        std::mutex m_writeMutex;
+        std::condition_variable m_condition;
+        boost::circular_buffer<std::string> m_queue;
+        std::map<std::string, event_rate> m_rates;
         bool m_isStopping { false };
         std::thread m_thread;
     };
 
     std::unique_ptr<line_writer> writer;
-    log_level lowestLevel { log_level::Info };
+    log_level loggedLevel { log_level::Info };
 
 } // namespace
 
-void startLogging(std::string_view node, log_level lowest)
+void startLogging(std::string_view node, log_level minimumLevel)
 {
     static log4cplus::Initializer initializer;
-    loggedNode = node;
-    lowestLevel = lowest;
+    nodeName = node;
+    loggedLevel = minimumLevel;
     if (writer)
         return;
     constexpr bool toStandardError = false;
@@ -195,17 +197,17 @@
 
 void logEvent(log_level level, std::string_view event, nlohmann::json fields)
 {
-    if (!writer || toLibraryLevel(level) < toLibraryLevel(lowestLevel))
+    if (!writer || toLibraryLevel(level) < toLibraryLevel(loggedLevel))
         return;
-    uint64_t leftOut = 0;
-    if (!writer->admit(std::string(event), leftOut))
+    uint64_t dropped = 0;
+    if (!writer->admit(std::string(event), dropped))
         return;
-    if (leftOut > 0)
-        fields["left_out"] = leftOut;
+    if (dropped > 0)
+        fields["left_out"] = dropped;
     fields["time_ms"] = wallClockMilliseconds();
     fields["level"] = nameOf(level);
     fields["event"] = event;
-    fields["node"] = loggedNode;
+    fields["node"] = nodeName;
     writer->push(fields.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
 
--- a/Source/Core/Common/Log.h
+++ b/Source/Core/Common/Log.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Structured logs: one JSON object a line on standard output, with a typed event name. A thread of its own writes them;
-/// who logs never waits. Each kind of line has a bound a second, and what is left out is counted in the next line.
+/// Structured logs: one JSON object per line on standard output, each with an event name. A separate thread writes the
+/// lines, so logging never blocks on output. Lines per event and second are limited; the next line has the dropped count.
 
 #include <cstdint>
 #include <string>
@@ -19,24 +19,24 @@
     Error,
 };
 
-/// Lines of one kind that are written in one second.
-constexpr uint32_t linesPerKindAndSecond = 200;
+/// Most lines written per second for one event name; further ones are dropped and counted.
+constexpr uint32_t maxLinesPerEventAndSecond = 200;
 
-/// Starts logging, or changes the name and the level.
-/// @param node the name that each line carries.
-/// @param lowest lines below this level are dropped.
-void startLogging(std::string_view node, log_level lowest);
+/// Starts logging, or changes the node name and the level of a running logger.
+/// @param node the node name written in each line.
+/// @param minimumLevel lines below this level are dropped.
+void startLogging(std::string_view node, log_level minimumLevel);
 
-/// Writes one line.
-/// @param level its severity.
-/// @param event a stable snake_case name.
-/// @param fields further members of the object; must hold no secret.
+/// Queues one line; may be called from any thread. Before startLogging() it does nothing.
+/// @param level severity of the line.
+/// @param event a snake_case name that log queries can rely on.
+/// @param fields further members of the JSON object; must not contain a secret.
 void logEvent(log_level level, std::string_view event, nlohmann::json fields = nlohmann::json::object());
 
-/// Writes what still waits; to be called before the process ends.
+/// Writes all queued lines; to be called before the process ends.
 void flushLogs();
 
-/// @return milliseconds since the epoch, for records and log lines.
+/// @return wall-clock milliseconds since the Unix epoch, for records and log lines.
 int64_t wallClockMilliseconds();
 
 } // namespace Common
--- a/Source/Core/Common/Metrics.cpp
+++ b/Source/Core/Common/Metrics.cpp
@@ -21,27 +21,27 @@
 
     namespace acc = boost::accumulators;
 
-    constexpr std::array<double, 3> observedQuantiles { 0.5, 0.95, 0.99 };
+    constexpr std::array<double, 3> reportedQuantiles { 0.5, 0.95, 0.99 };
 
     using sample_set = acc::accumulator_set<double, acc::stats<acc::tag::count, acc::tag::sum, acc::tag::extended_p_square>>;
 
-    struct metric_table {
+    struct metric_registry {
         std::mutex mutex;
         std::map<std::string, double, std::less<>> values;
         std::map<std::string, std::unique_ptr<sample_set>, std::less<>> samples;
     };
 
-    metric_table& table()
+    metric_registry& registry()
     {
-        static metric_table instance;
+        static metric_registry instance;
         return instance;
     }
 
     double& valueOf(std::string_view name)
     {
-        auto found = table().values.find(name);
-        if (found == table().values.end())
-            found = table().values.emplace(std::string(name), 0.0).first;
+        auto found = registry().values.find(name);
+        if (found == registry().values.end())
+            found = registry().values.emplace(std::string(name), 0.0).first;
         return found->second;
     }
 
@@ -49,23 +49,23 @@
 
 void countMetric(std::string_view name, uint64_t amount)
 {
-    const std::lock_guard guard(table().mutex);
+    const std::lock_guard guard(registry().mutex);
     valueOf(name) += static_cast<double>(amount);
 }
 
 void setMetric(std::string_view name, double value)
 {
-    const std::lock_guard guard(table().mutex);
+    const std::lock_guard guard(registry().mutex);
     valueOf(name) = value;
 }
 
 void observeMetric(std::string_view name, double seconds)
 {
-    const std::lock_guard guard(table().mutex);
-    auto found = table().samples.find(name);
-    if (found == table().samples.end()) {
-        auto samples = std::make_unique<sample_set>(acc::extended_p_square_probabilities = observedQuantiles);
-        found = table().samples.emplace(std::string(name), std::move(samples)).first;
+    const std::lock_guard guard(registry().mutex);
+    auto found = registry().samples.find(name);
+    if (found == registry().samples.end()) {
+        auto samples = std::make_unique<sample_set>(acc::extended_p_square_probabilities = reportedQuantiles);
+        found = registry().samples.emplace(std::string(name), std::move(samples)).first;
     }
     (*found->second)(seconds);
 }
@@ -91,15 +91,15 @@
 
 std::string printMetrics()
 {
-    const std::lock_guard guard(table().mutex);
+    const std::lock_guard guard(registry().mutex);
     std::string page;
-    for (const auto& [name, value] : table().values)
+    for (const auto& [name, value] : registry().values)
         page += fmt::format("{} {}\n", name, value);
-    for (const auto& [name, samples] : table().samples) {
+    for (const auto& [name, samples] : registry().samples) {
         std::ptrdiff_t index = 0;
-        for (const double observed : observedQuantiles) {
-            const double quantile = acc::extended_p_square(*samples)[index++];
-            page += fmt::format("{}{{quantile=\"{}\"}} {:.6f}\n", name, observed, quantile);
+        for (const double probability : reportedQuantiles) {
+            const double estimate = acc::extended_p_square(*samples)[index++];
+            page += fmt::format("{}{{quantile=\"{}\"}} {:.6f}\n", name, probability, estimate);
         }
         page += fmt::format("{}_sum {:.6f}\n{}_count {}\n", name, acc::sum(*samples), name, acc::count(*samples));
     }
--- a/Source/Core/Common/Metrics.h
+++ b/Source/Core/Common/Metrics.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Counters and quantiles of one process, printed in the Prometheus text format.
+/// Counters, gauges and quantile estimates of this process, in the Prometheus text format. Safe to call from any thread.
 
 #include <cstdint>
 #include <string>
@@ -11,23 +11,23 @@
 
 /// Adds to a counter.
 /// @param name Prometheus metric name, labels included.
-/// @param amount what to add.
+/// @param amount the increment.
 void countMetric(std::string_view name, uint64_t amount = 1);
 
 /// Sets a gauge.
 /// @param name Prometheus metric name, labels included.
-/// @param value its present value.
+/// @param value its current value.
 void setMetric(std::string_view name, double value);
 
-/// Adds a sample to a quantile estimate (P-square).
+/// Adds a sample to the quantile estimates of a metric (P-square algorithm).
 /// @param name Prometheus metric name without labels.
 /// @param seconds the sample in seconds.
 void observeMetric(std::string_view name, double seconds);
 
-/// Sets the gauges of this process: processor time in seconds and resident memory in bytes.
+/// Updates the metrics of this process: processor time in seconds and resident memory in bytes.
 void recordProcessMetrics();
 
-/// @return all metrics as a Prometheus text page, sorted by name.
+/// @return all metrics in the Prometheus text format: counters and gauges by name, then quantiles by name.
 std::string printMetrics();
 
 } // namespace Common
--- a/Source/Core/Common/Random.h
+++ b/Source/Core/Common/Random.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Seeded random numbers that give the same sequence on every machine.
+/// Seeded pseudo-random numbers; a seed gives the same sequence on every machine.
 
 #include <cstdint>
 
@@ -20,7 +20,7 @@
 /// @return a uniform number in [0, 1).
 double uniformUnit(random_source& source);
 
-/// @return a seed from the operating system, for processes that need no reproducible run.
+/// @return a seed from the operating system, for processes whose runs need not be reproducible.
 uint64_t systemSeed();
 
 } // namespace Common
--- a/Source/Core/Common/Ring.h
+++ b/Source/Core/Common/Ring.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The bounded ring that joins two duties. A full ring refuses at once; it never blocks its producer.
+/// The bounded message queue between duties. A full ring rejects a message at once and never blocks its producer.
 
 #include <functional>
 #include <mutex>
@@ -13,51 +13,51 @@
 namespace Common {
 
 /// A bounded ring with many producers and one consumer.
-/// @tparam message what one duty tells another.
+/// @tparam message type of the queued messages.
 template <typename message>
 class ring {
 public:
-    /// @param capacity the most messages that wait.
+    /// @param capacity maximum number of queued messages.
     explicit ring(size_t capacity)
-        : m_waiting(capacity)
+        : m_messages(capacity)
     {
     }
 
-    /// @param wake called after a message arrives in an empty ring; must not block.
+    /// @param wake called with the ring locked when a message arrives in an empty ring; must not block or use it.
     void setWaker(std::function<void()> wake)
     {
         const std::lock_guard guard(m_mutex);
         m_wake = std::move(wake);
     }
 
-    /// @param item the message; moved from when it is taken, left untouched when the ring is full.
-    /// @return whether the message was taken.
+    /// @param item the message; moved from when it is queued, unchanged when the ring is full.
+    /// @return whether the message was queued.
     [[nodiscard]] bool push(message& item)
     {
         const std::lock_guard guard(m_mutex);
-        if (m_waiting.full()) {
+        if (m_messages.full()) {
             ++m_refused;
             return false;
         }
-        const bool wasEmpty = m_waiting.empty();
-        m_waiting.push_back(std::move(item));
+        const bool wasEmpty = m_messages.empty();
+        m_messages.push_back(std::move(item));
         if (wasEmpty && m_wake)
             m_wake();
         return true;
     }
 
-    /// Moves all waiting messages out, oldest first.
-    /// @param batch cleared and filled.
+    /// Removes all queued messages.
+    /// @param batch replaced by the removed messages, oldest first.
     void drainInto(std::vector<message>& batch)
     {
         batch.clear();
         const std::lock_guard guard(m_mutex);
-        for (message& item : m_waiting)
+        for (message& item : m_messages)
             batch.push_back(std::move(item));
-        m_waiting.clear();
+        m_messages.clear();
     }
 
-    /// @return how many messages were refused since the start.
+    /// @return number of messages rejected because the ring was full, since its construction.
     uint64_t refused() const
     {
         const std::lock_guard guard(m_mutex);
@@ -66,7 +66,7 @@
 
 private:
     mutable std::mutex m_mutex;
-    boost::circular_buffer<message> m_waiting;
+    boost::circular_buffer<message> m_messages;
     std::function<void()> m_wake;
     uint64_t m_refused { 0 };
 };
--- a/Source/Core/Common/StrongType.h
+++ b/Source/Core/Common/StrongType.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Strong types for identifiers and units, so that two of them are never exchanged by accident.
+/// Strong types for identifiers and units, so that the compiler rejects one in place of another.
 
 #include <compare>
 #include <functional>
@@ -10,9 +10,9 @@
 
 namespace Common {
 
-/// A value that only compares with values of the same tag.
-/// @tparam tag distinguishes one strong type from another.
-/// @tparam representation the type that is stored.
+/// A value that can only be compared with values of the same tag.
+/// @tparam tag an incomplete type that makes the strong type distinct.
+/// @tparam representation type of the stored value.
 template <typename tag, typename representation>
 struct strong_type {
     representation value {};
