--- a/Tests/Faults/LoopbackProxy.cpp
+++ b/Tests/Faults/LoopbackProxy.cpp
@@ -24,36 +24,36 @@
         socket.close(ignored);
     }
 
-    bool holdsForward(link_state state)
+    bool isForwardBlocked(link_state state)
     {
-        return state == link_state::NothingForward || state == link_state::Silent;
+        return state == link_state::ForwardBlocked || state == link_state::BothBlocked;
     }
 
-    bool holdsBackward(link_state state)
+    bool isBackwardBlocked(link_state state)
     {
-        return state == link_state::NothingBackward || state == link_state::Silent;
+        return state == link_state::BackwardBlocked || state == link_state::BothBlocked;
     }
 
-    enum class pump_end {
-        Goes,
-        Ended, ///< A clean end, passed on.
+    enum class pump_result {
+        Forwarded,
+        Ended, ///< The sender closed its direction; the end was passed on.
         Reset,
     };
 
-    /// Moves what is readable from one socket to the other.
-    pump_end pump(tcp::socket& from, tcp::socket& to)
+    /// Forwards the readable bytes, or the end, from one socket to the other.
+    pump_result pump(tcp::socket& from, tcp::socket& to)
     {
         std::array<char, bufferBytes> buffer {};
         error_code error;
         const size_t size = from.read_some(boost::asio::buffer(buffer), error);
         if (error == boost::asio::error::eof) {
             to.shutdown(tcp::socket::shutdown_send, error);
-            return pump_end::Ended;
+            return pump_result::Ended;
         }
         if (error)
-            return pump_end::Reset;
+            return pump_result::Reset;
         boost::asio::write(to, boost::asio::buffer(buffer.data(), size), error);
-        return error ? pump_end::Reset : pump_end::Goes;
+        return error ? pump_result::Reset : pump_result::Forwarded;
     }
 
     /// One direction of a relayed connection.
@@ -69,32 +69,32 @@
         Reset,
     };
 
-    step_result step(direction& side, short seen)
+    step_result step(direction& side, short events)
     {
-        if ((seen & (POLLIN | POLLERR | POLLHUP)) == 0)
+        if ((events & (POLLIN | POLLERR | POLLHUP)) == 0)
             return step_result::Idle;
-        const pump_end end = pump(side.from, side.to);
-        side.hasEnded = end == pump_end::Ended;
-        return end == pump_end::Reset ? step_result::Reset : step_result::Moved;
+        const pump_result end = pump(side.from, side.to);
+        side.hasEnded = end == pump_result::Ended;
+        return end == pump_result::Reset ? step_result::Reset : step_result::Moved;
     }
 
-    /// Waits for bytes in the directions that the state lets through and moves them.
+    /// Waits for bytes in the directions that the state doesn't block, and forwards them.
     step_result step(direction& forward, direction& backward, link_state state)
     {
-        const bool isForwardOpen = !forward.hasEnded && !holdsForward(state);
-        const bool isBackwardOpen = !backward.hasEnded && !holdsBackward(state);
-        std::array<pollfd, 2> waiting { pollfd { forward.from.native_handle(), POLLIN, 0 }, pollfd { backward.from.native_handle(), POLLIN, 0 } };
-        // A negative descriptor is left out: a held direction must not even show a reset.
+        const bool isForwardOpen = !forward.hasEnded && !isForwardBlocked(state);
+        const bool isBackwardOpen = !backward.hasEnded && !isBackwardBlocked(state);
+        std::array<pollfd, 2> descriptors { pollfd { forward.from.native_handle(), POLLIN, 0 }, pollfd { backward.from.native_handle(), POLLIN, 0 } };
+        // poll() ignores negative descriptors: in a blocked direction not even a reset may be detected.
         if (!isForwardOpen)
-            waiting[0].fd = -1;
+            descriptors[0].fd = -1;
         if (!isBackwardOpen)
-            waiting[1].fd = -1;
-        if (poll(waiting.data(), waiting.size(), pollMilliseconds) <= 0)
+            descriptors[1].fd = -1;
+        if (poll(descriptors.data(), descriptors.size(), pollMilliseconds) <= 0)
             return step_result::Idle;
         if (state == link_state::Slow)
             std::this_thread::sleep_for(slowLinkDelay);
-        const step_result first = step(forward, waiting[0].revents);
-        return first == step_result::Reset ? first : step(backward, waiting[1].revents);
+        const step_result first = step(forward, descriptors[0].revents);
+        return first == step_result::Reset ? first : step(backward, descriptors[1].revents);
     }
 
 } // namespace
@@ -119,27 +119,27 @@
 {
     m_acceptor.non_blocking(true);
     while (!m_isStopping) {
-        reapDone();
-        pollfd waiting { m_acceptor.native_handle(), POLLIN, 0 };
-        if (poll(&waiting, 1, pollMilliseconds) <= 0)
+        joinFinishedRelays();
+        pollfd descriptor { m_acceptor.native_handle(), POLLIN, 0 };
+        if (poll(&descriptor, 1, pollMilliseconds) <= 0)
             continue;
         error_code error;
-        tcp::socket near(m_context);
-        m_acceptor.accept(near, error);
+        tcp::socket client(m_context);
+        m_acceptor.accept(client, error);
         if (error)
             continue;
-        near.non_blocking(false);
+        client.non_blocking(false);
         auto item = std::make_unique<relay>();
         relay& started = *item;
-        started.thread = std::thread([this, &started, near = std::move(near)]() mutable {
-            serve(std::move(near));
+        started.thread = std::thread([this, &started, client = std::move(client)]() mutable {
+            serve(std::move(client));
             started.isDone = true;
         });
         m_relays.push_back(std::move(item));
     }
 }
 
-void loopback_proxy::reapDone()
+void loopback_proxy::joinFinishedRelays()
 {
     std::erase_if(m_relays, [](const std::unique_ptr<relay>& item) {
         if (!item->isDone)
@@ -149,26 +149,26 @@
     });
 }
 
-void loopback_proxy::serve(tcp::socket near)
+void loopback_proxy::serve(tcp::socket client)
 {
     const uint32_t resets = m_resets;
-    tcp::socket far(m_context);
+    tcp::socket server(m_context);
     error_code error;
-    far.connect({ boost::asio::ip::make_address("127.0.0.1"), m_target }, error);
+    server.connect({ boost::asio::ip::make_address("127.0.0.1"), m_target }, error);
     if (error)
-        return reset(near);
-    near.set_option(tcp::no_delay(true), error);
-    far.set_option(tcp::no_delay(true), error);
-    direction forward { near, far };
-    direction backward { far, near };
+        return reset(client);
+    client.set_option(tcp::no_delay(true), error);
+    server.set_option(tcp::no_delay(true), error);
+    direction forward { client, server };
+    direction backward { server, client };
     while (!m_isStopping && m_resets == resets && !(forward.hasEnded && backward.hasEnded)) {
         if (step(forward, backward, m_state) == step_result::Reset)
             break;
     }
     if (forward.hasEnded && backward.hasEnded)
         return;
-    reset(near);
-    reset(far);
+    reset(client);
+    reset(server);
 }
 
 } // namespace Faults
--- a/Tests/Faults/PromiseChecker.h
+++ b/Tests/Faults/PromiseChecker.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Checks the promises of the service while the soak runs, from what callers, endpoints and the cloud see.
+/// Checks the guarantees of the service while the soak runs, using only what callers, endpoints and the cloud observe.
 
 #include "Faults/SoakWork.h"
 #include "Platform/CloudStandIn.h"
@@ -19,129 +19,138 @@
 using moment = std::chrono::steady_clock::time_point;
 using std::chrono::milliseconds;
 
-/// One arrival of a request at an endpoint that runs it.
-struct run_seen {
+/// One execution of a request, as observed by the endpoint that runs it.
+struct observed_run {
     std::string id;
-    std::string endpoint;
-    std::string target;
+    std::string endpoint; ///< Id of the endpoint in the store.
+    std::string target; ///< Path and query.
     std::string body;
     std::string account;
-    bool hasKey { false }; ///< The caller's key was passed on.
+    bool hasKey { false }; ///< The caller's API key was forwarded, which must not happen.
     int timeBudgetMs { 0 };
     moment at;
 };
 
-/// What a caller saw at the end of a request.
-struct answer_seen {
+/// The answer to a request as observed by its caller.
+struct observed_answer {
     enum class ending {
         Complete,
-        Broken, ///< The connection ended first.
-        TimedOut, ///< The caller waited longer than its time budget.
-        Left, ///< The caller closed the connection itself.
+        Broken, ///< The connection ended, or sent malformed bytes, before the answer was complete.
+        TimedOut, ///< The answer did not arrive within the time budget.
+        ClosedByCaller, ///< The caller closed the connection before the answer was complete.
     };
 
     ending end { ending::Broken };
-    int status { 0 }; ///< Zero: no head arrived.
-    std::string id; ///< As the answer states it.
-    bool isSealed { false };
-    std::string body; ///< As far as it arrived.
+    int status { 0 }; ///< HTTP status; 0 when no response head arrived.
+    std::string id; ///< Request id in the answer's headers.
+    bool isSealed { false }; ///< The answer has the endpoint's X-Filbertreel-Server-Seal header.
+    std::string body; ///< The part that arrived.
 };
 
+/// A violated guarantee.
 struct breach {
-    std::string rule;
-    std::string what;
+    std::string rule; ///< Upper-case name of the rule, such as LOST.
+    std::string description;
 };
 
-/// Which checks with a bound in time hold for this run.
+/// Selects the checks that apply to a run.
 struct checker_settings {
-    bool isTimed { false }; ///< Times count: the machine has processor time to spare.
-    bool isPlannedOnly { false }; ///< Nothing but planned work disturbs this run.
+    bool isTimed { false }; ///< Check time limits; requires a machine with idle processor time.
+    /// The run has only planned operations (restarts, drains, changes of settings and catalog): no request may be lost.
+    bool isPlannedOnly { false };
 };
 
+/// Collects events from all threads of a run and records violations. Thread-safe.
 class promise_checker {
 public:
     explicit promise_checker(checker_settings settings);
 
-    // --- What the operator and the fault plan do
-
-    /// A catalog is about to be sent, and later was acknowledged.
-    void noteCatalogSent(uint64_t version);
-    void noteCatalogAcknowledged(uint64_t version, moment at);
-    void noteEndpointLeaving(const std::string& endpoint, moment at);
-    void noteEndpointBack(const std::string& endpoint);
-    /// A new process of a node is about to start.
-    void noteNodeStart(int node, moment at);
-    /// Something other than planned work began or ended.
-    void noteDisturbance(moment at);
-    void noteBreach(const std::string& rule, const std::string& what);
-
-    // --- What endpoints and callers see
-
-    void noteSent(const work_request& request, int node, moment at);
-    void noteArrival(const std::string& id, moment at);
-    void noteRun(const run_seen& run);
-    void noteAnswer(const std::string& id, const answer_seen& answer, moment at);
-
-    /// Checks that need the whole run.
+    // --- Events from the operator and the fault plan
+
+    /// Call before a catalog is sent to the store.
+    void recordCatalogSent(uint64_t version);
+    /// Call when the store has acknowledged a catalog.
+    void recordCatalogAcknowledged(uint64_t version, moment at);
+    void recordEndpointDraining(const std::string& endpoint, moment at);
+    void recordEndpointRestored(const std::string& endpoint);
+    /// Call before a new process of a node starts.
+    void recordNodeStart(int node, moment at);
+    /// Call when an unplanned fault starts or ends.
+    /// @param at when it ends; may be in the future.
+    void recordDisturbance(moment at);
+    void recordBreach(const std::string& rule, const std::string& description);
+
+    // --- Events from endpoints and callers
+
+    void recordRequestSent(const work_request& request, int node, moment at);
+    /// Call for every request that reaches an endpoint, also when it is refused there.
+    void recordArrival(const std::string& id, moment at);
+    /// Call when an endpoint starts to run a request.
+    void recordRun(const observed_run& run);
+    void recordAnswer(const std::string& id, const observed_answer& answer, moment at);
+
+    /// Runs the checks that need the events of the whole run.
+    /// @param calls every call of a duty that the cloud received.
     void finish(const std::vector<PlatformTests::duty_call>& calls);
 
     std::vector<breach> breaches() const;
-    /// @return counts of requests by how they ended.
+    /// @return number of requests by status and end of the answer, and totals of the checks in finish().
     std::map<std::string, int> outcomes() const;
 
-    /// Requests that have to be served while nothing is harmed, and those of them that were, since the last call.
-    struct served_share {
-        int due { 0 };
-        int served { 0 };
+    /// Requests that the callers did not close themselves and whose key has no limit and is in every catalog.
+    struct served_counts {
+        int expected { 0 }; ///< All of them: each is expected to succeed when there is no fault.
+        int served { 0 }; ///< Those that got a complete success.
     };
-    served_share takeServedShare();
+    /// @return the counts since the last call; resets them.
+    served_counts takeServedCounts();
 
 private:
     struct request_record {
         work_request request;
         int node { 0 };
         moment sentAt;
-        int arrivals { 0 }; ///< At endpoints, also where it was not run.
+        int arrivals { 0 }; ///< At endpoints, including those that refused it.
         int runs { 0 };
-        bool isPromisedNotRun { false };
+        bool isRefusedAsNotRun { false }; ///< The caller got a status that guarantees that the request was not run.
     };
 
     struct node_record {
         moment startedAt;
-        uint64_t versionFloor { 0 }; ///< Oldest version that this process can have in force.
-        moment floorSeenAt;
+        uint64_t versionFloor { 0 }; ///< Oldest catalog version that this process can have in force.
+        moment floorObservedAt; ///< When the answer that raised the floor arrived.
     };
 
-    void add(const std::string& rule, const std::string& what);
-    bool isCalm(moment from) const;
-    void checkSuccess(const request_record& record, const answer_seen& answer);
-    void checkKey(const request_record& record, bool isTaken, moment at);
-    void checkLate(const request_record& record, bool isTaken);
+    void add(const std::string& rule, const std::string& description);
+    bool isSettledAt(moment time) const;
+    void checkSuccess(const request_record& record, const observed_answer& answer);
+    void checkKeyVersion(const request_record& record, bool isKeyAccepted, moment at);
+    void checkCatalogDelay(const request_record& record, bool isKeyAccepted);
     void checkRefusal(request_record& record);
     void checkLoss(const request_record& record, moment at);
     void checkAllowance();
-    void checkRepeats();
+    void checkRetryBudget();
     void checkDuties(const std::vector<PlatformTests::duty_call>& calls);
 
     checker_settings m_settings;
     mutable std::mutex m_mutex;
     std::map<std::string, request_record> m_requests;
     std::map<int, node_record> m_nodes;
-    std::map<uint64_t, moment> m_acknowledged;
-    std::map<std::string, moment> m_leaving;
-    uint64_t m_newestSent { 0 };
+    std::map<uint64_t, moment> m_acknowledgedAt; ///< By catalog version.
+    std::map<std::string, moment> m_drainingSince; ///< By endpoint id.
+    uint64_t m_newestSentVersion { 0 }; ///< Of the catalog.
     std::optional<moment> m_lastDisturbance;
     std::vector<moment> m_sentAt;
-    std::vector<moment> m_repeatedAt;
-    std::vector<moment> m_limitedRunsAt;
+    std::vector<moment> m_retriedAt; ///< Arrivals at endpoints after a request's first.
+    std::vector<moment> m_limitedRunsAt; ///< Runs for the account with a limit.
     std::vector<breach> m_breaches;
     std::map<std::string, int> m_outcomes;
-    served_share m_share;
+    served_counts m_servedCounts;
 };
 
-/// @param times moments in any order.
-/// @param window a length of time.
-/// @return the most of them that any span of that length holds.
-size_t mostWithin(std::vector<moment> times, milliseconds window);
+/// @param times in any order.
+/// @param window length of the sliding window.
+/// @return the largest number of the times that fall within one window.
+size_t maxCountInWindow(std::vector<moment> times, milliseconds window);
 
 } // namespace Faults
--- a/Tests/Faults/PromiseCheckerTest.cpp
+++ b/Tests/Faults/PromiseCheckerTest.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The soak's checks: each must see its breach, and must not see one in what is allowed.
+/// Checks of the soak: each must report its violation, and must report none for allowed behavior.
 
 #include "Faults/PromiseChecker.h"
 
@@ -9,26 +9,26 @@
 namespace {
 
 using namespace Faults;
-using ending = answer_seen::ending;
+using ending = observed_answer::ending;
 
 moment at(int ms)
 {
     return moment(std::chrono::hours(1)) + milliseconds(ms);
 }
 
-work_request makeRequest(work_kind kind, const std::string& id = "c1-1", std::string_view key = lastingKey)
+work_request makeRequest(work_kind kind, const std::string& id = "c1-1", std::string_view key = permanentKey)
 {
     return { id, kind, std::string(key), 2000 };
 }
 
-run_seen makeRun(const work_request& request, int ms, const std::string& endpoint = "e1")
+observed_run makeRun(const work_request& request, int ms, const std::string& endpoint = "e1")
 {
     return { request.id, endpoint, targetOf(request), requestBody(request.id), accountOf(request.key), false, 1900, at(ms) };
 }
 
-answer_seen makeAnswer(const work_request& request, int status, ending end = ending::Complete)
+observed_answer makeAnswer(const work_request& request, int status, ending end = ending::Complete)
 {
-    answer_seen answer { end, status, request.id, status == 200, "" };
+    observed_answer answer { end, status, request.id, status == 200, "" };
     if (status == 200 && !isStream(request.kind))
         answer.body = answerBody(request.id);
     return answer;
@@ -42,7 +42,7 @@
     return events;
 }
 
-/// The rules broken, in order, separated by spaces.
+/// @return the names of the violated rules in the order of their detection, separated by spaces.
 std::string rulesOf(const promise_checker& checker)
 {
     std::string rules;
@@ -51,89 +51,89 @@
     return rules;
 }
 
-struct history {
-    const char* what;
+struct scenario {
+    const char* description;
     const char* rules;
     void (*play)(promise_checker&);
     checker_settings settings {};
 };
 
-void check(const history& item)
+void check(const scenario& item)
 {
     promise_checker checker(item.settings);
-    checker.noteNodeStart(1, at(0));
-    checker.noteCatalogSent(12);
-    checker.noteCatalogAcknowledged(12, at(1));
+    checker.recordNodeStart(1, at(0));
+    checker.recordCatalogSent(12);
+    checker.recordCatalogAcknowledged(12, at(1));
     item.play(checker);
-    STRCMP_EQUAL_TEXT(item.rules, rulesOf(checker).c_str(), item.what);
+    STRCMP_EQUAL_TEXT(item.rules, rulesOf(checker).c_str(), item.description);
 }
 
 void serve(promise_checker& checker, const work_request& request, int ms, int status, int node = 1)
 {
-    checker.noteSent(request, node, at(ms));
-    checker.noteArrival(request.id, at(ms + 1));
+    checker.recordRequestSent(request, node, at(ms));
+    checker.recordArrival(request.id, at(ms + 1));
     if (status == 200)
-        checker.noteRun(makeRun(request, ms + 1));
-    checker.noteAnswer(request.id, makeAnswer(request, status), at(ms + 2));
+        checker.recordRun(makeRun(request, ms + 1));
+    checker.recordAnswer(request.id, makeAnswer(request, status), at(ms + 2));
 }
 
 } // namespace
 
 TEST_GROUP(PromiseChecker) {};
 
-TEST(PromiseChecker, AnswersAreTheCallersOwnAndWhole)
+TEST(PromiseChecker, WrongOrIncompleteAnswerIsReported)
 {
-    const history rows[] = {
+    const scenario rows[] = {
         { "served", "", [](promise_checker& checker) { serve(checker, makeRequest(work_kind::Idempotent), 10, 200); } },
-        { "never ran", "MIXED",
+        { "success without a run", "MIXED",
             [](promise_checker& checker) {
                 const work_request request = makeRequest(work_kind::Idempotent);
-                checker.noteSent(request, 1, at(10));
-                checker.noteAnswer(request.id, makeAnswer(request, 200), at(20));
+                checker.recordRequestSent(request, 1, at(10));
+                checker.recordAnswer(request.id, makeAnswer(request, 200), at(20));
             } },
-        { "another request's answer", "MIXED MIXED",
+        { "answer to another request", "MIXED MIXED",
             [](promise_checker& checker) {
                 const work_request request = makeRequest(work_kind::Idempotent);
-                checker.noteSent(request, 1, at(10));
-                checker.noteRun(makeRun(request, 11));
-                checker.noteAnswer(request.id, makeAnswer(makeRequest(work_kind::Idempotent, "c2-2"), 200), at(20));
+                checker.recordRequestSent(request, 1, at(10));
+                checker.recordRun(makeRun(request, 11));
+                checker.recordAnswer(request.id, makeAnswer(makeRequest(work_kind::Idempotent, "c2-2"), 200), at(20));
             } },
         { "no seal", "MIXED",
             [](promise_checker& checker) {
                 const work_request request = makeRequest(work_kind::Idempotent);
-                checker.noteSent(request, 1, at(10));
-                checker.noteRun(makeRun(request, 11));
-                answer_seen answer = makeAnswer(request, 200);
+                checker.recordRequestSent(request, 1, at(10));
+                checker.recordRun(makeRun(request, 11));
+                observed_answer answer = makeAnswer(request, 200);
                 answer.isSealed = false;
-                checker.noteAnswer(request.id, answer, at(20));
+                checker.recordAnswer(request.id, answer, at(20));
             } },
-        { "cut short and called complete", "MIXED",
+        { "truncated answer marked as complete", "MIXED",
             [](promise_checker& checker) {
                 const work_request request = makeRequest(work_kind::Idempotent);
-                checker.noteSent(request, 1, at(10));
-                checker.noteRun(makeRun(request, 11));
-                answer_seen answer = makeAnswer(request, 200);
+                checker.recordRequestSent(request, 1, at(10));
+                checker.recordRun(makeRun(request, 11));
+                observed_answer answer = makeAnswer(request, 200);
                 answer.body.pop_back();
-                checker.noteAnswer(request.id, answer, at(20));
+                checker.recordAnswer(request.id, answer, at(20));
             } },
-        { "cut short and shown broken", "",
+        { "truncated answer marked as broken", "",
             [](promise_checker& checker) {
                 const work_request request = makeRequest(work_kind::Idempotent);
-                checker.noteSent(request, 1, at(10));
-                checker.noteRun(makeRun(request, 11));
-                answer_seen answer = makeAnswer(request, 200, ending::Broken);
+                checker.recordRequestSent(request, 1, at(10));
+                checker.recordRun(makeRun(request, 11));
+                observed_answer answer = makeAnswer(request, 200, ending::Broken);
                 answer.body.pop_back();
-                checker.noteAnswer(request.id, answer, at(20));
+                checker.recordAnswer(request.id, answer, at(20));
             } },
     };
-    for (const history& item : rows)
+    for (const scenario& item : rows)
         check(item);
 }
 
-TEST(PromiseChecker, StreamsGoOnWhereTheyWere)
+TEST(PromiseChecker, RepeatedOrSkippedStreamEventIsReported)
 {
     struct row {
-        const char* what;
+        const char* description;
         uint32_t firstTo;
         uint32_t secondFrom;
         ending end;
@@ -142,25 +142,25 @@
     const std::string id = "c1-1";
     const uint32_t last = eventCount(id);
     const row rows[] = {
-        { "whole", 2, 3, ending::Complete, "" },
-        { "an event twice", 2, 2, ending::Complete, "ORDER" },
-        { "an event left out", 1, 3, ending::Complete, "ORDER" },
+        { "complete", 2, 3, ending::Complete, "" },
+        { "repeated event", 2, 2, ending::Complete, "ORDER" },
+        { "skipped event", 1, 3, ending::Complete, "ORDER" },
         { "broken", 2, last + 1, ending::Broken, "" },
-        { "ended as complete", 2, last + 1, ending::Complete, "ORDER" },
+        { "truncated stream marked as complete", 2, last + 1, ending::Complete, "ORDER" },
     };
     for (const row& item : rows) {
         promise_checker checker({});
         const work_request request = makeRequest(work_kind::ResumableStream, id);
-        checker.noteSent(request, 1, at(0));
-        checker.noteRun(makeRun(request, 1));
-        answer_seen answer = makeAnswer(request, 200, item.end);
+        checker.recordRequestSent(request, 1, at(0));
+        checker.recordRun(makeRun(request, 1));
+        observed_answer answer = makeAnswer(request, 200, item.end);
         answer.body = streamOf(id, 1, item.firstTo) + streamOf(id, item.secondFrom, last);
-        checker.noteAnswer(id, answer, at(50));
-        STRCMP_EQUAL_TEXT(item.rules, rulesOf(checker).c_str(), item.what);
+        checker.recordAnswer(id, answer, at(50));
+        STRCMP_EQUAL_TEXT(item.rules, rulesOf(checker).c_str(), item.description);
     }
 }
 
-TEST(PromiseChecker, WhatRunsOnceRunsOnceAndARefusalIsTrue)
+TEST(PromiseChecker, SecondRunAndRunOfARefusedRequestAreReported)
 {
     struct row {
         work_kind kind;
@@ -183,123 +183,123 @@
     for (const row& item : rows) {
         promise_checker checker({});
         const work_request request = makeRequest(item.kind);
-        checker.noteSent(request, 1, at(0));
+        checker.recordRequestSent(request, 1, at(0));
         for (int run = 0; run < item.runsBefore; ++run)
-            checker.noteRun(makeRun(request, 1 + run));
-        checker.noteAnswer(request.id, makeAnswer(request, item.status), at(20));
+            checker.recordRun(makeRun(request, 1 + run));
+        checker.recordAnswer(request.id, makeAnswer(request, item.status), at(20));
         for (int run = 0; run < item.runsAfter; ++run)
-            checker.noteRun(makeRun(request, 30 + run));
+            checker.recordRun(makeRun(request, 30 + run));
         STRCMP_EQUAL(item.rules, rulesOf(checker).c_str());
     }
 }
 
-TEST(PromiseChecker, EndpointsGetWhatTheCallerSentAndNothingElse)
+TEST(PromiseChecker, RequestChangedOnTheWayToTheEndpointIsReported)
 {
-    const history rows[] = {
-        { "an unknown id", "UNASKED", [](promise_checker& checker) { checker.noteRun(makeRun(makeRequest(work_kind::Idempotent, "nobody"), 5)); } },
-        { "another target", "UNASKED",
+    const scenario rows[] = {
+        { "unknown request id", "UNASKED", [](promise_checker& checker) { checker.recordRun(makeRun(makeRequest(work_kind::Idempotent, "nobody"), 5)); } },
+        { "changed target", "UNASKED",
             [](promise_checker& checker) {
                 const work_request request = makeRequest(work_kind::Idempotent);
-                checker.noteSent(request, 1, at(0));
-                run_seen run = makeRun(request, 5);
+                checker.recordRequestSent(request, 1, at(0));
+                observed_run run = makeRun(request, 5);
                 run.target += "&more";
-                checker.noteRun(run);
+                checker.recordRun(run);
             } },
-        { "the key passed on", "UNASKED",
+        { "forwarded API key", "UNASKED",
             [](promise_checker& checker) {
                 const work_request request = makeRequest(work_kind::Idempotent);
-                checker.noteSent(request, 1, at(0));
-                run_seen run = makeRun(request, 5);
+                checker.recordRequestSent(request, 1, at(0));
+                observed_run run = makeRun(request, 5);
                 run.hasKey = true;
-                checker.noteRun(run);
+                checker.recordRun(run);
             } },
-        { "the account that the caller claims", "UNASKED",
+        { "account claimed by the caller", "UNASKED",
             [](promise_checker& checker) {
                 const work_request request = makeRequest(work_kind::Idempotent);
-                checker.noteSent(request, 1, at(0));
-                run_seen run = makeRun(request, 5);
+                checker.recordRequestSent(request, 1, at(0));
+                observed_run run = makeRun(request, 5);
                 run.account = "forged";
-                checker.noteRun(run);
+                checker.recordRun(run);
             } },
-        { "more time than is left", "BUDGET",
+        { "time budget larger than the caller's", "BUDGET",
             [](promise_checker& checker) {
                 const work_request request = makeRequest(work_kind::Idempotent);
-                checker.noteSent(request, 1, at(0));
-                run_seen run = makeRun(request, 5);
+                checker.recordRequestSent(request, 1, at(0));
+                observed_run run = makeRun(request, 5);
                 run.timeBudgetMs = 2600;
-                checker.noteRun(run);
+                checker.recordRun(run);
             } },
     };
-    for (const history& item : rows)
+    for (const scenario& item : rows)
         check(item);
 }
 
-TEST(PromiseChecker, ANodeNeverFallsBehindACatalogThatItHasShown)
+TEST(PromiseChecker, OutdatedCatalogOnANodeIsReported)
 {
-    const history rows[] = {
-        { "follows", "",
+    const scenario rows[] = {
+        { "accepts and refuses keys as its catalog does", "",
             [](promise_checker& checker) {
-                serve(checker, makeRequest(work_kind::Idempotent, "a", passingKey(11)), 10, 200);
-                serve(checker, makeRequest(work_kind::Idempotent, "b", passingKey(12)), 20, 200);
-                serve(checker, makeRequest(work_kind::Idempotent, "c", passingKey(10)), 900, 401);
+                serve(checker, makeRequest(work_kind::Idempotent, "a", temporaryKey(11)), 10, 200);
+                serve(checker, makeRequest(work_kind::Idempotent, "b", temporaryKey(12)), 20, 200);
+                serve(checker, makeRequest(work_kind::Idempotent, "c", temporaryKey(10)), 900, 401);
             } },
-        { "takes a key that went", "CONFIG",
+        { "accepts a removed key", "CONFIG",
             [](promise_checker& checker) {
-                serve(checker, makeRequest(work_kind::Idempotent, "a", passingKey(12)), 10, 200);
-                serve(checker, makeRequest(work_kind::Idempotent, "b", passingKey(10)), 900, 200);
+                serve(checker, makeRequest(work_kind::Idempotent, "a", temporaryKey(12)), 10, 200);
+                serve(checker, makeRequest(work_kind::Idempotent, "b", temporaryKey(10)), 900, 200);
             } },
-        { "refuses a key that it took", "CONFIG",
+        { "refuses a key that it accepted before", "CONFIG",
             [](promise_checker& checker) {
-                serve(checker, makeRequest(work_kind::Idempotent, "a", passingKey(12)), 10, 200);
-                serve(checker, makeRequest(work_kind::Idempotent, "b", passingKey(12)), 900, 401);
+                serve(checker, makeRequest(work_kind::Idempotent, "a", temporaryKey(12)), 10, 200);
+                serve(checker, makeRequest(work_kind::Idempotent, "b", temporaryKey(12)), 900, 401);
             } },
-        { "a new process may know less", "",
+        { "new process with an older catalog", "",
             [](promise_checker& checker) {
-                serve(checker, makeRequest(work_kind::Idempotent, "a", passingKey(12)), 10, 200);
-                checker.noteNodeStart(1, at(500));
-                serve(checker, makeRequest(work_kind::Idempotent, "b", passingKey(10)), 900, 200);
+                serve(checker, makeRequest(work_kind::Idempotent, "a", temporaryKey(12)), 10, 200);
+                checker.recordNodeStart(1, at(500));
+                serve(checker, makeRequest(work_kind::Idempotent, "b", temporaryKey(10)), 900, 200);
             } },
-        { "refuses a key of every catalog", "DENIED", [](promise_checker& checker) { serve(checker, makeRequest(work_kind::Idempotent), 10, 401); } },
-        { "finds no route", "DENIED", [](promise_checker& checker) { serve(checker, makeRequest(work_kind::Idempotent), 10, 404); } },
-        { "is late", "CONFIG", [](promise_checker& checker) { serve(checker, makeRequest(work_kind::Idempotent, "a", passingKey(12)), 4500, 401); }, { true, false } },
-        { "is late after a disturbance", "",
+        { "refuses a key that is in every catalog", "DENIED", [](promise_checker& checker) { serve(checker, makeRequest(work_kind::Idempotent), 10, 401); } },
+        { "answers 404 on an existing route", "DENIED", [](promise_checker& checker) { serve(checker, makeRequest(work_kind::Idempotent), 10, 404); } },
+        { "uses a new catalog too late", "CONFIG", [](promise_checker& checker) { serve(checker, makeRequest(work_kind::Idempotent, "a", temporaryKey(12)), 4500, 401); }, { true, false } },
+        { "uses a new catalog late after a fault", "",
             [](promise_checker& checker) {
-                checker.noteDisturbance(at(1000));
-                serve(checker, makeRequest(work_kind::Idempotent, "a", passingKey(12)), 4500, 401);
+                checker.recordDisturbance(at(1000));
+                serve(checker, makeRequest(work_kind::Idempotent, "a", temporaryKey(12)), 4500, 401);
             },
             { true, false } },
     };
-    for (const history& item : rows)
+    for (const scenario& item : rows)
         check(item);
 }
 
-TEST(PromiseChecker, PlannedWorkLosesNothing)
+TEST(PromiseChecker, LossDuringPlannedOperationsIsReported)
 {
     struct row {
-        const char* what;
+        const char* description;
         int runs;
         int brokenAt;
         checker_settings settings;
         const char* rules;
     };
     const row rows[] = {
-        { "ran", 1, 20, { true, true }, "LOST" },
-        { "crossed the close", 0, 20, { true, true }, "" },
-        { "cut late", 0, 400, { true, true }, "LOST" },
-        { "other faults are about", 1, 20, { true, false }, "" },
+        { "broken after the run", 1, 20, { true, true }, "LOST" },
+        { "sent while the connection was being closed", 0, 20, { true, true }, "" },
+        { "broken long after sending, without a run", 0, 400, { true, true }, "LOST" },
+        { "run with unplanned faults", 1, 20, { true, false }, "" },
     };
     for (const row& item : rows) {
         promise_checker checker(item.settings);
         const work_request request = makeRequest(work_kind::AtMostOnce);
-        checker.noteSent(request, 1, at(0));
+        checker.recordRequestSent(request, 1, at(0));
         if (item.runs > 0)
-            checker.noteRun(makeRun(request, 1));
-        checker.noteAnswer(request.id, makeAnswer(request, 0, ending::Broken), at(item.brokenAt));
-        STRCMP_EQUAL_TEXT(item.rules, rulesOf(checker).c_str(), item.what);
+            checker.recordRun(makeRun(request, 1));
+        checker.recordAnswer(request.id, makeAnswer(request, 0, ending::Broken), at(item.brokenAt));
+        STRCMP_EQUAL_TEXT(item.rules, rulesOf(checker).c_str(), item.description);
     }
 }
 
-TEST(PromiseChecker, ALeavingEndpointIsLeftInTime)
+TEST(PromiseChecker, RequestToADrainingEndpointAfterTheBoundIsReported)
 {
     struct row {
         int sentAt;
@@ -308,39 +308,39 @@
     const row rows[] = { { 3500, "" }, { 4500, "DRAIN" } };
     for (const row& item : rows) {
         promise_checker checker({ true, false });
-        checker.noteEndpointLeaving("e1", at(0));
+        checker.recordEndpointDraining("e1", at(0));
         const work_request request = makeRequest(work_kind::Idempotent);
-        checker.noteSent(request, 1, at(item.sentAt));
-        checker.noteRun(makeRun(request, item.sentAt + 1));
+        checker.recordRequestSent(request, 1, at(item.sentAt));
+        checker.recordRun(makeRun(request, item.sentAt + 1));
         STRCMP_EQUAL(item.rules, rulesOf(checker).c_str());
     }
 }
 
-TEST(PromiseChecker, AllowancesAndRepeatsAreBoundedOverAllNodes)
+TEST(PromiseChecker, RunsOverTheAllowanceAndRetriesOverTheBudgetAreReported)
 {
     struct row {
         std::string_view key;
         int requests;
         int runsEach;
-        int spreadMs; ///< Between two requests.
+        int spreadMs; ///< Time between two requests.
         const char* rules;
     };
     const row rows[] = {
         { limitedKey, 150, 1, 1, "" },
         { limitedKey, 160, 1, 1, "QUOTA" },
         { limitedKey, 400, 1, 66, "" },
-        { lastingKey, 400, 1, 1, "" },
-        { lastingKey, 20, 2, 1, "" },
-        { lastingKey, 100, 2, 1, "BUDGET" },
+        { permanentKey, 400, 1, 1, "" },
+        { permanentKey, 20, 2, 1, "" },
+        { permanentKey, 100, 2, 1, "BUDGET" },
     };
     for (const row& item : rows) {
         promise_checker checker({});
         for (int number = 0; number < item.requests; ++number) {
             const work_request request = makeRequest(work_kind::Idempotent, fmt::format("c1-{}", number), item.key);
-            checker.noteSent(request, 1, at(number * item.spreadMs));
+            checker.recordRequestSent(request, 1, at(number * item.spreadMs));
             for (int run = 0; run < item.runsEach; ++run) {
-                checker.noteArrival(request.id, at(number * item.spreadMs));
-                checker.noteRun(makeRun(request, number * item.spreadMs));
+                checker.recordArrival(request.id, at(number * item.spreadMs));
+                checker.recordRun(makeRun(request, number * item.spreadMs));
             }
         }
         checker.finish({});
@@ -348,7 +348,7 @@
     }
 }
 
-TEST(PromiseChecker, ADutyHasOneHolderAndAWindowOneReport)
+TEST(PromiseChecker, SecondHolderOfATokenAndChangedUsageReportAreReported)
 {
     using PlatformTests::duty_call;
     const auto usage = [](const char* holder, uint64_t fence, int count, bool isAccepted = true) {
--- a/Tests/Faults/Soak.cpp
+++ b/Tests/Faults/Soak.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The fault soak: real nodes as separate processes on stand-ins of the platform, seeded faults from outside them, and
-/// checks of what callers, endpoints and the cloud see while it runs.
+/// Fault soak: runs real nodes as separate processes with stand-ins of the platform, causes seeded faults from outside
+/// and checks what callers, endpoints and the cloud observe.
 
 #include "Faults/PromiseChecker.h"
 #include "Faults/SoakCaller.h"
@@ -20,12 +20,13 @@
 using namespace Faults;
 using clock_type = std::chrono::steady_clock;
 
-constexpr milliseconds quietAtFirst { 1500 };
-constexpr milliseconds shareInterval { 500 };
+constexpr milliseconds warmUpTime { 1500 };
+constexpr milliseconds checkInterval { 500 };
 constexpr double recoveredShare = 0.9;
-/// The stated bound, and the longest wait of a run in which times don't count.
+/// Specified time limit for recovery, checked with --timed.
 constexpr milliseconds recoveryBound { 15000 };
-constexpr milliseconds longestRecovery { 120000 };
+/// Limit without --timed, long enough for a loaded machine.
+constexpr milliseconds untimedRecoveryBound { 120000 };
 
 struct run_options {
     uint64_t seed { 1 };
@@ -34,29 +35,29 @@
     world_settings world;
     bool isTimed { false };
     bool isPlannedOnly { false };
-    std::string keepFolder;
+    std::string logFolder;
 };
 
-/// Waits until callers are served again, now that nothing is harmed any more.
+/// Waits until at least recoveredShare of the callers' requests succeed; records a breach when the time limit passes.
 void awaitRecovery(promise_checker& checker, const run_options& options)
 {
-    const auto from = clock_type::now();
-    const milliseconds bound = options.isTimed ? recoveryBound : longestRecovery;
-    checker.takeServedShare();
-    while (clock_type::now() < from + bound) {
-        std::this_thread::sleep_for(shareInterval);
-        const promise_checker::served_share share = checker.takeServedShare();
-        if (share.due > options.callers && share.served >= share.due * recoveredShare)
+    const auto startedAt = clock_type::now();
+    const milliseconds bound = options.isTimed ? recoveryBound : untimedRecoveryBound;
+    checker.takeServedCounts();
+    while (clock_type::now() < startedAt + bound) {
+        std::this_thread::sleep_for(checkInterval);
+        const promise_checker::served_counts counts = checker.takeServedCounts();
+        if (counts.expected > options.callers && counts.served >= counts.expected * recoveredShare)
             return;
     }
-    checker.noteBreach("RECOVER", "callers are not served again after all faults were repaired");
+    checker.recordBreach("RECOVER", "callers' requests do not succeed again within the time limit after all faults were repaired");
 }
 
-void keepLogs(const soak_world& world, const std::string& folder)
+void saveLogs(const soak_world& world, const std::string& folder)
 {
     std::filesystem::create_directories(folder);
-    for (const auto& site : world.nodes)
-        std::ofstream(fmt::format("{}/node-{}.log", folder, site->number)) << site->node->log();
+    for (const auto& proxied : world.nodes)
+        std::ofstream(fmt::format("{}/node-{}.log", folder, proxied->number)) << proxied->node->log();
 }
 
 void print(const run_options& options, const promise_checker& checker, const std::map<std::string, int>& faults)
@@ -66,7 +67,7 @@
     line["outcomes"] = checker.outcomes();
     line["breaches"] = nlohmann::json::array();
     for (const breach& item : checker.breaches())
-        line["breaches"].push_back(item.rule + ": " + item.what);
+        line["breaches"].push_back(item.rule + ": " + item.description);
     std::cout << line.dump() << std::endl;
 }
 
@@ -74,25 +75,25 @@
 {
     promise_checker checker({ options.isTimed, options.isPlannedOnly });
     soak_world world(options.world, checker);
-    std::atomic<bool> isOver { false };
+    std::atomic<bool> shouldStop { false };
     std::vector<std::thread> callers;
     for (int number = 1; number <= options.callers; ++number) {
-        caller_settings settings { number, options.seed, doorsOf(world), [&isOver] { return isOver.load(); }, [&world] { return world.catalogVersion.load(); }, number % 4 == 0 };
+        caller_settings settings { number, options.seed, nodePortsOf(world), [&shouldStop] { return shouldStop.load(); }, [&world] { return world.catalogVersion.load(); }, number % 4 == 0 };
         callers.emplace_back([settings, &checker] { runCaller(settings, checker); });
     }
-    std::this_thread::sleep_for(quietAtFirst);
+    std::this_thread::sleep_for(warmUpTime);
     awaitRecovery(checker, options);
-    const auto faults = playPlan(world, { options.seed, std::chrono::seconds(options.seconds), options.isPlannedOnly });
+    const auto faults = runPlan(world, { options.seed, std::chrono::seconds(options.seconds), options.isPlannedOnly });
     awaitRecovery(checker, options);
-    isOver = true;
+    shouldStop = true;
     for (std::thread& caller : callers)
         caller.join();
     checkProcesses(world);
     checker.finish(world.cloud.calls());
     print(options, checker, faults);
     const bool isClean = checker.breaches().empty();
-    if (!isClean && !options.keepFolder.empty())
-        keepLogs(world, fmt::format("{}/seed-{}", options.keepFolder, options.seed));
+    if (!isClean && !options.logFolder.empty())
+        saveLogs(world, fmt::format("{}/seed-{}", options.logFolder, options.seed));
     return isClean ? 0 : 1;
 }
 
@@ -101,15 +102,15 @@
 int main(int argc, char** argv)
 {
     run_options options;
-    CLI::App app { "Seeded faults against real nodes on the platform's stand-ins. Exit codes: 0 no breach, 1 a breach." };
+    CLI::App app { "Runs real nodes with stand-ins of the platform under seeded faults. Exit codes: 0 no breach, 1 a breach." };
     app.add_option("--seed", options.seed);
-    app.add_option("--seconds", options.seconds, "Length of the plan");
+    app.add_option("--seconds", options.seconds, "Length of the fault plan in seconds");
     app.add_option("--nodes", options.world.nodes);
     app.add_option("--endpoints", options.world.endpoints);
     app.add_option("--callers", options.callers);
-    app.add_option("--keep", options.keepFolder, "Folder for the logs of a run with a breach");
-    app.add_flag("--timed", options.isTimed, "Also check bounds in time; the machine must have processor time to spare");
-    app.add_flag("--planned-only", options.isPlannedOnly, "Only planned work: nothing that was taken may be lost");
+    app.add_option("--keep", options.logFolder, "Folder for the nodes' logs of a run with a breach");
+    app.add_flag("--timed", options.isTimed, "Also check time limits; requires a machine with idle processor time");
+    app.add_flag("--planned-only", options.isPlannedOnly, "Only planned operations: no accepted request may be lost");
     CLI11_PARSE(app, argc, argv);
     return run(options);
 }
--- a/Tests/Faults/SoakCaller.cpp
+++ b/Tests/Faults/SoakCaller.cpp
@@ -22,17 +22,17 @@
 
     constexpr int pollMilliseconds = 10;
     constexpr uint32_t requestsPerConnection = 30;
-    constexpr milliseconds addressLife { 1000 };
-    constexpr milliseconds pauseAfterFailure { 50 };
-    constexpr milliseconds longestRetryAfter { 300 };
-    constexpr int shortestBudgetMs = 1500;
-    constexpr uint32_t budgetSpreadMs = 1500;
-    /// A caller waits a little longer than it says, to see an answer that is on its way.
-    constexpr milliseconds patience { 1000 };
-    constexpr uint32_t leavesOneIn = 25;
-    constexpr uint32_t shortestStayMs = 5;
-    constexpr uint32_t staySpreadMs = 80;
-    constexpr uint32_t passingKeyOneIn = 4;
+    constexpr milliseconds addressTtl { 1000 };
+    constexpr milliseconds failurePause { 50 };
+    constexpr milliseconds maxRetryAfter { 300 };
+    constexpr int minTimeBudgetMs = 1500;
+    constexpr uint32_t timeBudgetSpreadMs = 1500;
+    /// A caller waits this much longer than its time budget, to receive an answer that is already on its way.
+    constexpr milliseconds extraWait { 1000 };
+    constexpr uint32_t abandonOneIn = 25;
+    constexpr uint32_t minAbandonMs = 5;
+    constexpr uint32_t abandonSpreadMs = 80;
+    constexpr uint32_t temporaryKeyOneIn = 4;
 
     struct caller_state {
         caller_settings settings;
@@ -42,44 +42,44 @@
         std::optional<tcp::socket> socket;
         int node { 0 };
         uint32_t sentOnSocket { 0 };
-        uint64_t count { 0 };
-        std::vector<node_doors> offered; ///< By the directory.
-        clock::time_point askedAt;
+        uint64_t requestCount { 0 };
+        std::vector<node_ports> advertisedNodes; ///< Listed in the last directory answer.
+        clock::time_point refreshedAt;
     };
 
-    const node_doors& pick(caller_state& state, const std::vector<node_doors>& nodes)
+    const node_ports& pickNode(caller_state& state, const std::vector<node_ports>& nodes)
     {
         return nodes[Common::uniformBelow(state.random, static_cast<uint32_t>(nodes.size()))];
     }
 
-    /// Asks a node's directory which addresses to use; keeps the old ones while none answers.
-    void renewAddresses(caller_state& state)
+    /// Queries a node's directory for the addresses to use; keeps the previous ones when it doesn't answer or lists none.
+    void refreshAddresses(caller_state& state)
     {
-        if (clock::now() < state.askedAt + addressLife && !state.offered.empty())
+        if (clock::now() < state.refreshedAt + addressTtl && !state.advertisedNodes.empty())
             return;
-        const std::string answer = PlatformTests::ask(pick(state, state.settings.nodes).directory, "/v1/resolve?zone=z&region=r");
+        const std::string answer = PlatformTests::ask(pickNode(state, state.settings.nodes).directoryPort, "/v1/resolve?zone=z&region=r");
         if (PlatformTests::statusOf(answer) != 200)
             return;
-        std::vector<node_doors> offered;
-        for (const node_doors& node : state.settings.nodes) {
-            if (answer.find(fmt::format("127.0.0.1:{}\"", node.callers)) != std::string::npos)
-                offered.push_back(node);
+        std::vector<node_ports> advertisedNodes;
+        for (const node_ports& node : state.settings.nodes) {
+            if (answer.find(fmt::format("127.0.0.1:{}\"", node.callerPort)) != std::string::npos)
+                advertisedNodes.push_back(node);
         }
-        if (offered.empty())
+        if (advertisedNodes.empty())
             return;
-        state.offered = std::move(offered);
-        state.askedAt = clock::now();
+        state.advertisedNodes = std::move(advertisedNodes);
+        state.refreshedAt = clock::now();
     }
 
     bool connect(caller_state& state)
     {
-        renewAddresses(state);
-        if (state.offered.empty())
+        refreshAddresses(state);
+        if (state.advertisedNodes.empty())
             return false;
-        const node_doors node = pick(state, state.offered);
+        const node_ports node = pickNode(state, state.advertisedNodes);
         state.socket.emplace(state.context);
         error_code error;
-        state.socket->connect({ boost::asio::ip::make_address("127.0.0.1"), node.proxied }, error);
+        state.socket->connect({ boost::asio::ip::make_address("127.0.0.1"), node.proxyPort }, error);
         if (error) {
             state.socket.reset();
             return false;
@@ -92,116 +92,117 @@
     work_request makeRequest(caller_state& state)
     {
         work_request request;
-        request.id = fmt::format("c{}-{}", state.settings.number, ++state.count);
+        request.id = fmt::format("c{}-{}", state.settings.number, ++state.requestCount);
         request.kind = static_cast<work_kind>(Common::uniformBelow(state.random, workKindCount));
-        request.timeBudgetMs = shortestBudgetMs + static_cast<int>(Common::uniformBelow(state.random, budgetSpreadMs));
-        request.key = lastingKey;
+        request.timeBudgetMs = minTimeBudgetMs + static_cast<int>(Common::uniformBelow(state.random, timeBudgetSpreadMs));
+        request.key = permanentKey;
         if (state.settings.usesLimitedKey)
             request.key = limitedKey;
-        else if (Common::uniformBelow(state.random, passingKeyOneIn) == 0)
-            request.key = passingKey(state.settings.newestVersion() - Common::uniformBelow(state.random, 3));
+        else if (Common::uniformBelow(state.random, temporaryKeyOneIn) == 0)
+            request.key = temporaryKey(state.settings.newestCatalogVersion() - Common::uniformBelow(state.random, 3));
         return request;
     }
 
     template <typename message>
-    std::string valueOf(const message& answer, const char* name)
+    std::string headerValue(const message& answer, const char* name)
     {
         const auto found = answer.find(name);
         return found == answer.end() ? std::string() : std::string(found->value());
     }
 
     struct received_answer {
-        answer_seen seen;
-        bool closes { true };
+        observed_answer answer;
+        bool closesConnection { true };
         milliseconds retryAfter { 0 };
     };
 
     template <typename parser_type>
-    void takeParsed(const parser_type& parser, received_answer& received)
+    void copyParsed(const parser_type& parser, received_answer& received)
     {
         constexpr double millisecondsPerSecond = 1000;
         const auto& message = parser.get();
-        received.seen.status = message.result_int();
-        received.seen.id = valueOf(message, "X-Filbertreel-Attempt-Id");
-        received.seen.isSealed = !valueOf(message, "X-Filbertreel-Server-Seal").empty();
-        received.seen.body = message.body();
-        received.closes = !message.keep_alive();
-        const std::string retryAfter = valueOf(message, "Retry-After");
+        received.answer.status = message.result_int();
+        received.answer.id = headerValue(message, "X-Filbertreel-Attempt-Id");
+        received.answer.isSealed = !headerValue(message, "X-Filbertreel-Server-Seal").empty();
+        received.answer.body = message.body();
+        received.closesConnection = !message.keep_alive();
+        const std::string retryAfter = headerValue(message, "Retry-After");
         if (!retryAfter.empty())
             received.retryAfter = milliseconds(static_cast<int64_t>(std::stod(retryAfter) * millisecondsPerSecond));
     }
 
-    /// Reads until the answer is complete, the connection ends or the time is over.
-    received_answer receive(tcp::socket& socket, clock::time_point until, answer_seen::ending atTimeout)
+    /// Reads until the answer is complete, the connection breaks or the time is up.
+    /// @param atTimeout the end to record when the time is up.
+    received_answer receive(tcp::socket& socket, clock::time_point deadline, observed_answer::ending atTimeout)
     {
         http::response_parser<http::string_body> parser;
         parser.eager(true);
         received_answer received;
-        received.seen.end = atTimeout;
+        received.answer.end = atTimeout;
         std::string unread;
         std::array<char, 8192> buffer {};
-        while (clock::now() < until) {
-            pollfd waiting { socket.native_handle(), POLLIN, 0 };
-            if (poll(&waiting, 1, pollMilliseconds) <= 0)
+        while (clock::now() < deadline) {
+            pollfd descriptor { socket.native_handle(), POLLIN, 0 };
+            if (poll(&descriptor, 1, pollMilliseconds) <= 0)
                 continue;
             error_code error;
             unread.append(buffer.data(), socket.read_some(boost::asio::buffer(buffer), error));
             if (error) {
-                received.seen.end = answer_seen::ending::Broken;
+                received.answer.end = observed_answer::ending::Broken;
                 break;
             }
             const size_t used = parser.put(boost::asio::buffer(unread), error);
             unread.erase(0, used);
             if (error && error != http::error::need_more) {
-                received.seen.end = answer_seen::ending::Broken;
+                received.answer.end = observed_answer::ending::Broken;
                 break;
             }
             if (!parser.is_done())
                 continue;
-            received.seen.end = answer_seen::ending::Complete;
+            received.answer.end = observed_answer::ending::Complete;
             break;
         }
         if (parser.is_header_done())
-            takeParsed(parser, received);
+            copyParsed(parser, received);
         return received;
     }
 
-    /// Bytes on a connection with no request waiting belong to nothing.
-    bool isQuiet(tcp::socket& socket)
+    /// @return whether the socket has neither unread bytes nor an end of connection.
+    bool isIdle(tcp::socket& socket)
     {
-        pollfd waiting { socket.native_handle(), POLLIN, 0 };
-        return poll(&waiting, 1, 0) <= 0;
+        pollfd descriptor { socket.native_handle(), POLLIN, 0 };
+        return poll(&descriptor, 1, 0) <= 0;
     }
 
-    bool hasStrayBytes(tcp::socket& socket)
+    bool hasUnexpectedBytes(tcp::socket& socket)
     {
         std::array<char, 1> byte {};
         error_code error;
-        return !isQuiet(socket) && socket.read_some(boost::asio::buffer(byte), error) > 0;
+        return !isIdle(socket) && socket.read_some(boost::asio::buffer(byte), error) > 0;
     }
 
-    /// One request on the open connection.
+    /// Sends one request on the open connection and records its answer.
     void exchange(caller_state& state)
     {
         const work_request request = makeRequest(state);
         const auto sentAt = clock::now();
-        state.checker.noteSent(request, state.node, sentAt);
+        state.checker.recordRequestSent(request, state.node, sentAt);
         ++state.sentOnSocket;
         error_code error;
-        boost::asio::write(*state.socket, boost::asio::buffer(writeRequest(request)), error);
+        boost::asio::write(*state.socket, boost::asio::buffer(serializeRequest(request)), error);
         received_answer received;
         if (!error) {
-            const bool leaves = Common::uniformBelow(state.random, leavesOneIn) == 0;
-            const auto stay = leaves ? milliseconds(shortestStayMs + Common::uniformBelow(state.random, staySpreadMs)) : milliseconds(request.timeBudgetMs) + patience;
-            received = receive(*state.socket, sentAt + stay, leaves ? answer_seen::ending::Left : answer_seen::ending::TimedOut);
+            const bool isAbandoned = Common::uniformBelow(state.random, abandonOneIn) == 0;
+            const auto waitTime = isAbandoned ? milliseconds(minAbandonMs + Common::uniformBelow(state.random, abandonSpreadMs)) : milliseconds(request.timeBudgetMs) + extraWait;
+            received = receive(*state.socket, sentAt + waitTime, isAbandoned ? observed_answer::ending::ClosedByCaller : observed_answer::ending::TimedOut);
         }
-        state.checker.noteAnswer(request.id, received.seen, clock::now());
-        if (received.seen.end != answer_seen::ending::Complete || received.closes || state.sentOnSocket >= requestsPerConnection)
+        state.checker.recordAnswer(request.id, received.answer, clock::now());
+        if (received.answer.end != observed_answer::ending::Complete || received.closesConnection || state.sentOnSocket >= requestsPerConnection)
             state.socket.reset();
-        if (received.seen.status == 0)
-            std::this_thread::sleep_for(pauseAfterFailure);
+        if (received.answer.status == 0)
+            std::this_thread::sleep_for(failurePause);
         if (received.retryAfter.count() > 0)
-            std::this_thread::sleep_for(std::min(received.retryAfter, longestRetryAfter));
+            std::this_thread::sleep_for(std::min(received.retryAfter, maxRetryAfter));
     }
 
 } // namespace
@@ -210,13 +211,13 @@
 {
     constexpr uint32_t pauseSpreadMs = 20;
     caller_state state { settings, checker, Common::random_source(settings.seed, static_cast<uint64_t>(settings.number)), {}, {}, 0, 0, 0, {}, {} };
-    while (!settings.isOver()) {
-        if (state.socket && hasStrayBytes(*state.socket))
-            checker.noteBreach("MIXED", fmt::format("bytes for caller {} from node {} with no request waiting", settings.number, state.node));
-        if (state.socket && !isQuiet(*state.socket))
+    while (!settings.shouldStop()) {
+        if (state.socket && hasUnexpectedBytes(*state.socket))
+            checker.recordBreach("MIXED", fmt::format("caller {} received bytes from node {} without an outstanding request", settings.number, state.node));
+        if (state.socket && !isIdle(*state.socket))
             state.socket.reset();
         if (!state.socket && !connect(state)) {
-            std::this_thread::sleep_for(pauseAfterFailure);
+            std::this_thread::sleep_for(failurePause);
             continue;
         }
         exchange(state);
--- a/Tests/Faults/SoakEndpoint.cpp
+++ b/Tests/Faults/SoakEndpoint.cpp
@@ -17,16 +17,16 @@
     using boost::system::error_code;
 
     constexpr int pollMilliseconds = 20;
-    constexpr milliseconds workTime { 15 };
-    constexpr milliseconds betweenEvents { 8 };
+    constexpr milliseconds processingTime { 15 };
+    constexpr milliseconds eventInterval { 8 };
     constexpr int slowFactor = 12;
-    /// Longer than any caller waits.
-    constexpr milliseconds muteTime { 6000 };
+    /// Longer than the callers' longest wait (see SoakCaller.cpp).
+    constexpr milliseconds unresponsiveTime { 6000 };
 
     bool isReadable(tcp::socket& socket, int milliseconds)
     {
-        pollfd waiting { socket.native_handle(), POLLIN, 0 };
-        return poll(&waiting, 1, milliseconds) > 0;
+        pollfd descriptor { socket.native_handle(), POLLIN, 0 };
+        return poll(&descriptor, 1, milliseconds) > 0;
     }
 
     bool send(tcp::socket& socket, const std::string& bytes)
@@ -43,20 +43,20 @@
         socket.close(ignored);
     }
 
-    std::string headOf(int status, const std::string& id, bool isSealed, const std::string& more)
+    std::string responseHead(int status, const std::string& id, bool isSealed, const std::string& moreHeaders)
     {
         const std::string seal = isSealed ? "X-Filbertreel-Server-Seal: s." + id + "\r\n" : "";
-        return fmt::format("HTTP/1.1 {} Status\r\nX-Filbertreel-Attempt-Id: {}\r\n{}{}\r\n", status, id, seal, more);
+        return fmt::format("HTTP/1.1 {} Status\r\nX-Filbertreel-Attempt-Id: {}\r\n{}{}\r\n", status, id, seal, moreHeaders);
     }
 
-    std::string lengthLine(const std::string& body)
+    std::string contentLengthHeader(const std::string& body)
     {
         return fmt::format("Content-Length: {}\r\n", body.size());
     }
 
     std::string notRunAnswer(int status, const std::string& id)
     {
-        return headOf(status, id, false, "X-Filbertreel-Not-Executed: 1\r\nContent-Length: 0\r\n");
+        return responseHead(status, id, false, "X-Filbertreel-Not-Executed: 1\r\nContent-Length: 0\r\n");
     }
 
     std::string chunk(const std::string& bytes)
@@ -66,17 +66,17 @@
 
     std::string plainAnswer(int status, const std::string& id, const std::string& body)
     {
-        return headOf(status, id, true, lengthLine(body)) + body;
+        return responseHead(status, id, true, contentLengthHeader(body)) + body;
     }
 
     template <typename message>
-    std::string valueOf(const message& request, const char* name)
+    std::string headerValue(const message& request, const char* name)
     {
         const auto found = request.find(name);
         return found == request.end() ? std::string() : std::string(found->value());
     }
 
-    uint32_t numberOf(const std::string& text)
+    uint32_t parseNumber(const std::string& text)
     {
         return text.empty() ? 0 : static_cast<uint32_t>(std::stoul(text));
     }
@@ -122,8 +122,8 @@
             item->thread.join();
             return true;
         });
-        pollfd waiting { m_acceptor.native_handle(), POLLIN, 0 };
-        if (poll(&waiting, 1, pollMilliseconds) <= 0)
+        pollfd descriptor { m_acceptor.native_handle(), POLLIN, 0 };
+        if (poll(&descriptor, 1, pollMilliseconds) <= 0)
             continue;
         error_code error;
         tcp::socket socket(m_context);
@@ -149,7 +149,7 @@
         http::request_parser<http::string_body> parser;
         parser.eager(true);
         while (!parser.is_done()) {
-            if (m_isStopping || m_conduct == endpoint_conduct::Down)
+            if (m_isStopping || m_behavior == endpoint_behavior::Down)
                 return reset(socket);
             if (!isReadable(socket, pollMilliseconds))
                 continue;
@@ -163,93 +163,93 @@
     }
 }
 
-run_seen soak_endpoint::describe(const request_message& request, const std::string& id) const
+observed_run soak_endpoint::describe(const request_message& request, const std::string& id) const
 {
-    run_seen run;
+    observed_run run;
     run.id = id;
     run.endpoint = name();
     run.target = std::string(request.target());
     run.body = request.body();
-    run.account = valueOf(request, "X-Filbertreel-Tenant");
+    run.account = headerValue(request, "X-Filbertreel-Tenant");
     run.hasKey = request.find("Authorization") != request.end();
-    run.timeBudgetMs = static_cast<int>(numberOf(valueOf(request, "X-Filbertreel-Time-Budget")));
+    run.timeBudgetMs = static_cast<int>(parseNumber(headerValue(request, "X-Filbertreel-Time-Budget")));
     run.at = std::chrono::steady_clock::now();
     return run;
 }
 
 bool soak_endpoint::answer(tcp::socket& socket, const request_message& request)
 {
-    const std::string id = valueOf(request, "X-Filbertreel-Attempt-Id");
-    m_checker.noteArrival(id, std::chrono::steady_clock::now());
-    constexpr int wrongEndpoint = 421;
-    constexpr int full = 503;
-    if (valueOf(request, "X-Filbertreel-Expect-Instance") != name())
-        return send(socket, notRunAnswer(wrongEndpoint, id));
-    if (m_conduct == endpoint_conduct::Full)
-        return send(socket, notRunAnswer(full, id));
-    m_checker.noteRun(describe(request, id));
+    const std::string id = headerValue(request, "X-Filbertreel-Attempt-Id");
+    m_checker.recordArrival(id, std::chrono::steady_clock::now());
+    constexpr int misdirectedRequest = 421;
+    constexpr int serviceUnavailable = 503;
+    if (headerValue(request, "X-Filbertreel-Expect-Instance") != name())
+        return send(socket, notRunAnswer(misdirectedRequest, id));
+    if (m_behavior == endpoint_behavior::Full)
+        return send(socket, notRunAnswer(serviceUnavailable, id));
+    m_checker.recordRun(describe(request, id));
     return run(socket, request, id);
 }
 
 bool soak_endpoint::run(tcp::socket& socket, const request_message& request, const std::string& id)
 {
-    const endpoint_conduct conduct = m_conduct;
+    const endpoint_behavior behavior = m_behavior;
     const bool isOdd = ++m_runs % 2 == 1;
-    const milliseconds time = conduct == endpoint_conduct::Slow ? workTime * slowFactor : workTime;
-    if (!waitWhileOpen(socket, conduct == endpoint_conduct::Mute ? muteTime : time))
+    const milliseconds time = behavior == endpoint_behavior::Slow ? processingTime * slowFactor : processingTime;
+    if (!waitWhileOpen(socket, behavior == endpoint_behavior::Unresponsive ? unresponsiveTime : time))
         return false;
-    if (conduct == endpoint_conduct::Garbling)
+    if (behavior == endpoint_behavior::Malformed)
         return send(socket, "\x01\x02 no answer at all\r\n\r\n") && false;
-    if (conduct == endpoint_conduct::Failing && isOdd)
+    if (behavior == endpoint_behavior::Failing && isOdd)
         return send(socket, plainAnswer(500, id, "failed"));
-    if (conduct == endpoint_conduct::Forging && isOdd && !send(socket, plainAnswer(200, id + "-other", answerBody(id + "-other"))))
+    if (behavior == endpoint_behavior::WrongId && isOdd && !send(socket, plainAnswer(200, id + "-other", answerBody(id + "-other"))))
         return false;
-    const endpoint_conduct shown = conduct == endpoint_conduct::Cutting && !isOdd ? endpoint_conduct::Sound : conduct;
+    const endpoint_behavior effectiveBehavior = behavior == endpoint_behavior::Truncating && !isOdd ? endpoint_behavior::Healthy : behavior;
     if (isStream(kindOf({ request.target().data(), request.target().size() })))
-        return sendStream(socket, id, numberOf(valueOf(request, "Last-Event-Id")), shown);
-    return sendPlain(socket, id, shown);
+        return sendStream(socket, id, parseNumber(headerValue(request, "Last-Event-Id")), effectiveBehavior);
+    return sendPlain(socket, id, effectiveBehavior);
 }
 
-bool soak_endpoint::sendPlain(tcp::socket& socket, const std::string& id, endpoint_conduct conduct)
+bool soak_endpoint::sendPlain(tcp::socket& socket, const std::string& id, endpoint_behavior behavior)
 {
-    const std::string whole = plainAnswer(200, id, answerBody(id));
-    if (conduct == endpoint_conduct::Cutting)
-        return send(socket, whole.substr(0, whole.size() - 1)) && false;
-    if (conduct == endpoint_conduct::Talkative)
-        return send(socket, whole + plainAnswer(200, id, answerBody(id)));
-    return send(socket, whole);
+    const std::string response = plainAnswer(200, id, answerBody(id));
+    if (behavior == endpoint_behavior::Truncating)
+        return send(socket, response.substr(0, response.size() - 1)) && false;
+    if (behavior == endpoint_behavior::ExtraAnswer)
+        return send(socket, response + plainAnswer(200, id, answerBody(id)));
+    return send(socket, response);
 }
 
-bool soak_endpoint::sendStream(tcp::socket& socket, const std::string& id, uint32_t after, endpoint_conduct conduct)
+bool soak_endpoint::sendStream(tcp::socket& socket, const std::string& id, uint32_t after, endpoint_behavior behavior)
 {
-    if (!send(socket, headOf(200, id, true, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n")))
+    if (!send(socket, responseHead(200, id, true, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n")))
         return false;
     const uint32_t count = eventCount(id);
     for (uint32_t number = after + 1; number <= count; ++number) {
         const std::string event = eventBytes(id, number);
-        // The break comes within an event.
-        if (conduct == endpoint_conduct::Cutting && number > count / 2)
+        // Break the stream in the middle of an event.
+        if (behavior == endpoint_behavior::Truncating && number > count / 2)
             return send(socket, chunk(event.substr(0, event.size() / 2))) && false;
         if (!send(socket, chunk(event)))
             return false;
-        if (!waitWhileOpen(socket, conduct == endpoint_conduct::Slow ? betweenEvents * slowFactor : betweenEvents))
+        if (!waitWhileOpen(socket, behavior == endpoint_behavior::Slow ? eventInterval * slowFactor : eventInterval))
             return false;
     }
     return send(socket, "0\r\n\r\n");
 }
 
-/// @return false when the other side closed, or the endpoint is to go down.
+/// @return false when the peer closed the connection, the endpoint is stopping or its behavior is Down.
 bool soak_endpoint::waitWhileOpen(tcp::socket& socket, milliseconds time) const
 {
     const auto until = std::chrono::steady_clock::now() + time;
     while (std::chrono::steady_clock::now() < until) {
-        if (m_isStopping || m_conduct == endpoint_conduct::Down) {
+        if (m_isStopping || m_behavior == endpoint_behavior::Down) {
             reset(socket);
             return false;
         }
-        const auto left = std::chrono::duration_cast<milliseconds>(until - std::chrono::steady_clock::now()).count() + 1;
-        // Nothing is sent while an answer is awaited: whatever is readable is the end.
-        if (isReadable(socket, static_cast<int>(std::min<int64_t>(left, pollMilliseconds))))
+        const auto remaining = std::chrono::duration_cast<milliseconds>(until - std::chrono::steady_clock::now()).count() + 1;
+        // The peer sends nothing while it waits for an answer, so a readable socket means that it has closed.
+        if (isReadable(socket, static_cast<int>(std::min<int64_t>(remaining, pollMilliseconds))))
             return false;
     }
     return true;
--- a/Tests/Faults/SoakEndpoint.h
+++ b/Tests/Faults/SoakEndpoint.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// An endpoint of the soak: runs each request for a while, answers what its id demands, and misbehaves when told to.
+/// Endpoint of the soak: simulates processing time, sends the answer that follows from the request's id, and can be
+/// switched to a faulty behavior.
 
 #include "Faults/PromiseChecker.h"
 
@@ -19,25 +20,25 @@
 
 namespace Faults {
 
-enum class endpoint_conduct {
-    Sound,
-    Full, ///< States of each request that it was not run.
-    Failing, ///< Answers each other request with a failure of its own, after it ran.
-    Cutting, ///< Breaks each other answer off in the middle.
-    Mute, ///< Runs requests and never answers.
-    Garbling, ///< Sends bytes that are no answer, after it ran.
-    Forging, ///< Answers in the name of another request first.
-    Talkative, ///< Sends more bytes after complete answers.
+enum class endpoint_behavior {
+    Healthy,
+    Full, ///< Refuses each request as not run.
+    Failing, ///< Runs each request, and answers every second one with status 500.
+    Truncating, ///< Closes the connection in the middle of every second answer.
+    Unresponsive, ///< Runs requests and does not answer.
+    Malformed, ///< Runs the request and then sends bytes that are not HTTP.
+    WrongId, ///< Sends an answer for another request id before every second answer.
+    ExtraAnswer, ///< Sends a second, unrequested answer after each plain one.
     Slow,
     Down, ///< Resets every connection.
 };
 
-constexpr int endpointConductCount = 10;
+constexpr int endpointBehaviorCount = 10;
 
 class soak_endpoint {
 public:
-    /// @param name its id in the store.
-    /// @param checker told of every arrival and run.
+    /// @param name the endpoint's id in the store.
+    /// @param checker records every arrival and run.
     soak_endpoint(std::string name, promise_checker& checker);
     ~soak_endpoint();
     soak_endpoint(const soak_endpoint&) = delete;
@@ -45,9 +46,9 @@
 
     uint16_t port() const { return m_port; }
     std::string name() const;
-    /// Takes another id, as a new process at the same address does.
+    /// Changes the id, as when a new process starts at the same address.
     void rename(const std::string& name);
-    void setConduct(endpoint_conduct conduct) { m_conduct = conduct; }
+    void setBehavior(endpoint_behavior behavior) { m_behavior = behavior; }
 
 private:
     using request_message = boost::beast::http::request<boost::beast::http::string_body>;
@@ -60,13 +61,13 @@
 
     void accept();
     void serve(tcp::socket socket);
-    /// @return whether the connection goes on.
+    /// @return whether the connection can be used for further requests; also for run(), sendPlain() and sendStream().
     bool answer(tcp::socket& socket, const request_message& request);
     bool run(tcp::socket& socket, const request_message& request, const std::string& id);
-    bool sendPlain(tcp::socket& socket, const std::string& id, endpoint_conduct conduct);
-    bool sendStream(tcp::socket& socket, const std::string& id, uint32_t after, endpoint_conduct conduct);
+    bool sendPlain(tcp::socket& socket, const std::string& id, endpoint_behavior behavior);
+    bool sendStream(tcp::socket& socket, const std::string& id, uint32_t after, endpoint_behavior behavior);
     bool waitWhileOpen(tcp::socket& socket, milliseconds time) const;
-    run_seen describe(const request_message& request, const std::string& id) const;
+    observed_run describe(const request_message& request, const std::string& id) const;
 
     promise_checker& m_checker;
     mutable std::mutex m_mutex;
@@ -74,7 +75,7 @@
     boost::asio::io_context m_context;
     tcp::acceptor m_acceptor;
     uint16_t m_port;
-    std::atomic<endpoint_conduct> m_conduct { endpoint_conduct::Sound };
+    std::atomic<endpoint_behavior> m_behavior { endpoint_behavior::Healthy };
     std::atomic<uint32_t> m_runs { 0 };
     std::atomic<bool> m_isStopping { false };
     std::vector<std::unique_ptr<connection>> m_connections;
--- a/Tests/Faults/SoakPlan.cpp
+++ b/Tests/Faults/SoakPlan.cpp
@@ -14,14 +14,14 @@
     using PlatformTests::cloud_mode;
     using PlatformTests::store_mode;
 
-    constexpr size_t mostAtOnce = 6;
-    constexpr uint32_t shortestPauseMs = 50;
+    constexpr size_t maxActiveFaults = 6;
+    constexpr uint32_t minPauseMs = 50;
     constexpr uint32_t pauseSpreadMs = 500;
-    constexpr milliseconds planStep { 20 };
-    constexpr int graceMs = 4000;
+    constexpr milliseconds pollInterval { 20 };
+    constexpr int stopTimeoutMs = 4000;
 
-    /// What one fault harms, so that no two harm the same at once.
-    enum class harmed_part {
+    /// The component that a fault affects. Two faults never affect the same component at the same time.
+    enum class fault_target {
         Node,
         Endpoint,
         StoreLink,
@@ -33,175 +33,176 @@
     };
 
     struct fault {
-        const char* name;
-        harmed_part part;
-        bool isPlanned;
-        uint32_t shortestMs;
-        uint32_t spreadMs;
-        /// @param which number of the node or endpoint, from zero.
-        /// @param detail a drawn number for faults with variants.
-        void (*cause)(soak_world&, size_t which, uint32_t detail);
-        void (*repair)(soak_world&, size_t which);
+        const char* name; ///< Key in the run's output.
+        fault_target target;
+        bool isPlanned; ///< A planned operation that must not lose requests.
+        uint32_t minDurationMs;
+        uint32_t durationSpreadMs;
+        /// @param index selects the node or endpoint, modulo their number.
+        /// @param detail random number that selects a variant of the fault.
+        void (*cause)(soak_world&, size_t index, uint32_t detail);
+        void (*repair)(soak_world&, size_t index);
     };
 
-    node_site& nodeAt(soak_world& world, size_t which) { return *world.nodes[which % world.nodes.size()]; }
-    endpoint_site& endpointAt(soak_world& world, size_t which) { return *world.endpoints[which % world.endpoints.size()]; }
+    proxied_node& nodeAt(soak_world& world, size_t index) { return *world.nodes[index % world.nodes.size()]; }
+    proxied_endpoint& endpointAt(soak_world& world, size_t index) { return *world.endpoints[index % world.endpoints.size()]; }
 
-    void nothing(soak_world&, size_t) { }
+    void noRepair(soak_world&, size_t) { }
 
     // --- Nodes
 
-    void killNode(soak_world& world, size_t which, uint32_t)
+    void killNode(soak_world& world, size_t index, uint32_t)
     {
-        node_site& site = nodeAt(world, which);
-        site.isMeantToRun = false;
-        Harness::killProcess(site.node->child);
+        proxied_node& proxied = nodeAt(world, index);
+        proxied.shouldBeRunning = false;
+        Harness::killProcess(proxied.node->child);
     }
 
-    void reviveNode(soak_world& world, size_t which) { startNode(world, nodeAt(world, which)); }
+    void restartKilledNode(soak_world& world, size_t index) { restartNode(world, nodeAt(world, index)); }
 
-    void killAll(soak_world& world, size_t, uint32_t)
+    void killAllNodes(soak_world& world, size_t, uint32_t)
     {
-        for (size_t which = 0; which < world.nodes.size(); ++which)
-            killNode(world, which, 0);
+        for (size_t index = 0; index < world.nodes.size(); ++index)
+            killNode(world, index, 0);
     }
 
-    void reviveAll(soak_world& world, size_t)
+    void restartAllNodes(soak_world& world, size_t)
     {
-        for (size_t which = 0; which < world.nodes.size(); ++which)
-            reviveNode(world, which);
+        for (size_t index = 0; index < world.nodes.size(); ++index)
+            restartKilledNode(world, index);
     }
 
-    void freezeNode(soak_world& world, size_t which, uint32_t) { Harness::signalProcess(nodeAt(world, which).node->child, SIGSTOP); }
-    void wakeNode(soak_world& world, size_t which) { Harness::signalProcess(nodeAt(world, which).node->child, SIGCONT); }
+    void freezeNode(soak_world& world, size_t index, uint32_t) { Harness::signalProcess(nodeAt(world, index).node->child, SIGSTOP); }
+    void resumeNode(soak_world& world, size_t index) { Harness::signalProcess(nodeAt(world, index).node->child, SIGCONT); }
 
-    void stopNode(soak_world& world, size_t which, uint32_t)
+    void stopNode(soak_world& world, size_t index, uint32_t)
     {
-        node_site& site = nodeAt(world, which);
-        site.isMeantToRun = false;
-        Harness::signalProcess(site.node->child, SIGTERM);
+        proxied_node& proxied = nodeAt(world, index);
+        proxied.shouldBeRunning = false;
+        Harness::signalProcess(proxied.node->child, SIGTERM);
     }
 
-    void endStoppedNode(soak_world& world, size_t which)
+    void restartStoppedNode(soak_world& world, size_t index)
     {
-        node_site& site = nodeAt(world, which);
-        const bool hasEnded = Harness::waitForExit(site.node->child, graceMs) == 0;
-        // A process that gets the signal before it has begun has taken nothing that it could lose.
-        if (!hasEnded && site.node->hasBegun())
-            world.checker.noteBreach("ENDED", fmt::format("node {} did not end by itself after SIGTERM: wait status {:#x}", site.number, site.node->child.endStatus));
-        Harness::killProcess(site.node->child);
-        startNode(world, site);
+        proxied_node& proxied = nodeAt(world, index);
+        const bool hasEnded = Harness::waitForExit(proxied.node->child, stopTimeoutMs) == 0;
+        // A process that gets SIGTERM before it handles signals is terminated by it; it has not accepted any requests yet.
+        if (!hasEnded && proxied.node->hasBegun())
+            world.checker.recordBreach("ENDED", fmt::format("node {} did not exit with code 0 after SIGTERM: wait status {:#x}", proxied.number, proxied.node->child.endStatus));
+        Harness::killProcess(proxied.node->child);
+        restartNode(world, proxied);
     }
 
-    void renewSettings(soak_world& world, size_t which, uint32_t detail)
+    void reloadSettings(soak_world& world, size_t index, uint32_t detail)
     {
-        const node_site& site = nodeAt(world, which);
+        const proxied_node& proxied = nodeAt(world, index);
         constexpr const char* variants[] = { "some.new=1\n", "bounds.drainMs=soon\n", "" };
-        site.node->writeSettings(variants[detail % std::size(variants)]);
+        proxied.node->writeSettings(variants[detail % std::size(variants)]);
         if (detail % 2 == 0)
-            Harness::signalProcess(nodeAt(world, which).node->child, SIGHUP);
+            Harness::signalProcess(nodeAt(world, index).node->child, SIGHUP);
     }
 
-    void restoreSettings(soak_world& world, size_t which) { nodeAt(world, which).node->writeSettings(""); }
+    void restoreSettings(soak_world& world, size_t index) { nodeAt(world, index).node->writeSettings(""); }
 
     // --- Links
 
-    link_state harmOf(uint32_t detail)
+    link_state impairedState(uint32_t detail)
     {
-        constexpr link_state states[] = { link_state::Slow, link_state::NothingForward, link_state::NothingBackward, link_state::Silent };
+        constexpr link_state states[] = { link_state::Slow, link_state::ForwardBlocked, link_state::BackwardBlocked, link_state::BothBlocked };
         return states[detail % std::size(states)];
     }
 
-    void harmStoreLink(soak_world& world, size_t which, uint32_t detail) { nodeAt(world, which).storeLink->setState(harmOf(detail)); }
-    void mendStoreLink(soak_world& world, size_t which) { nodeAt(world, which).storeLink->setState(link_state::Clear); }
-    void resetStoreLink(soak_world& world, size_t which, uint32_t) { nodeAt(world, which).storeLink->resetAll(); }
-    void harmCallerLink(soak_world& world, size_t which, uint32_t detail) { nodeAt(world, which).callerLink->setState(harmOf(detail)); }
-    void mendCallerLink(soak_world& world, size_t which) { nodeAt(world, which).callerLink->setState(link_state::Clear); }
-    void resetCallerLink(soak_world& world, size_t which, uint32_t) { nodeAt(world, which).callerLink->resetAll(); }
-    void harmEndpointLink(soak_world& world, size_t which, uint32_t detail) { endpointAt(world, which).link->setState(harmOf(detail)); }
-    void mendEndpointLink(soak_world& world, size_t which) { endpointAt(world, which).link->setState(link_state::Clear); }
-    void resetEndpointLink(soak_world& world, size_t which, uint32_t) { endpointAt(world, which).link->resetAll(); }
+    void impairStoreLink(soak_world& world, size_t index, uint32_t detail) { nodeAt(world, index).storeLink->setState(impairedState(detail)); }
+    void restoreStoreLink(soak_world& world, size_t index) { nodeAt(world, index).storeLink->setState(link_state::Unimpaired); }
+    void resetStoreLink(soak_world& world, size_t index, uint32_t) { nodeAt(world, index).storeLink->resetAll(); }
+    void impairCallerLink(soak_world& world, size_t index, uint32_t detail) { nodeAt(world, index).callerLink->setState(impairedState(detail)); }
+    void restoreCallerLink(soak_world& world, size_t index) { nodeAt(world, index).callerLink->setState(link_state::Unimpaired); }
+    void resetCallerLink(soak_world& world, size_t index, uint32_t) { nodeAt(world, index).callerLink->resetAll(); }
+    void impairEndpointLink(soak_world& world, size_t index, uint32_t detail) { endpointAt(world, index).link->setState(impairedState(detail)); }
+    void restoreEndpointLink(soak_world& world, size_t index) { endpointAt(world, index).link->setState(link_state::Unimpaired); }
+    void resetEndpointLink(soak_world& world, size_t index, uint32_t) { endpointAt(world, index).link->resetAll(); }
 
     // --- Endpoints
 
-    void misbehave(soak_world& world, size_t which, uint32_t detail)
+    void setFaultyBehavior(soak_world& world, size_t index, uint32_t detail)
     {
-        endpointAt(world, which).endpoint->setConduct(static_cast<endpoint_conduct>(1 + detail % (endpointConductCount - 1)));
+        endpointAt(world, index).endpoint->setBehavior(static_cast<endpoint_behavior>(1 + detail % (endpointBehaviorCount - 1)));
     }
 
-    void behave(soak_world& world, size_t which) { endpointAt(world, which).endpoint->setConduct(endpoint_conduct::Sound); }
+    void setHealthyBehavior(soak_world& world, size_t index) { endpointAt(world, index).endpoint->setBehavior(endpoint_behavior::Healthy); }
 
-    void announceLeaving(soak_world& world, size_t which, uint32_t)
+    void drainEndpoint(soak_world& world, size_t index, uint32_t)
     {
-        endpoint_site& site = endpointAt(world, which);
-        registerEndpoint(world, site, "draining");
-        world.checker.noteEndpointLeaving(site.endpoint->name(), clock::now());
+        proxied_endpoint& proxied = endpointAt(world, index);
+        registerEndpoint(world, proxied, "draining");
+        world.checker.recordEndpointDraining(proxied.endpoint->name(), clock::now());
     }
 
-    /// The endpoint has gone, and another process takes its address.
-    void replaceEndpoint(soak_world& world, size_t which)
+    /// Removes the drained endpoint and registers a new one, with another id, at the same address.
+    void replaceEndpoint(soak_world& world, size_t index)
     {
-        endpoint_site& site = endpointAt(world, which);
-        world.store.remove("servers", site.endpoint->name());
-        ++site.started;
-        const std::string name = site.endpoint->name();
-        site.endpoint->rename(fmt::format("{}.{}", name.substr(0, name.find('.')), site.started));
-        registerEndpoint(world, site, "ready");
+        proxied_endpoint& proxied = endpointAt(world, index);
+        world.store.remove("servers", proxied.endpoint->name());
+        ++proxied.incarnation;
+        const std::string name = proxied.endpoint->name();
+        proxied.endpoint->rename(fmt::format("{}.{}", name.substr(0, name.find('.')), proxied.incarnation));
+        registerEndpoint(world, proxied, "ready");
     }
 
-    void spoilEntry(soak_world& world, size_t which, uint32_t) { world.store.put("servers", fmt::format("odd-{}", which), "no entry"); }
-    void removeSpoiledEntry(soak_world& world, size_t which) { world.store.remove("servers", fmt::format("odd-{}", which)); }
+    void writeUnreadableEntry(soak_world& world, size_t index, uint32_t) { world.store.put("servers", fmt::format("odd-{}", index), "no entry"); }
+    void removeUnreadableEntry(soak_world& world, size_t index) { world.store.remove("servers", fmt::format("odd-{}", index)); }
 
-    // --- What the nodes share
+    // --- Dependencies that all nodes share
 
-    void harmStore(soak_world& world, size_t, uint32_t detail)
+    void impairStore(soak_world& world, size_t, uint32_t detail)
     {
         constexpr store_mode modes[] = { store_mode::Busy, store_mode::Silent, store_mode::ForgetHistory };
         world.store.setMode(modes[detail % std::size(modes)]);
     }
 
-    void mendStore(soak_world& world, size_t) { world.store.setMode(store_mode::Serve); }
+    void restoreStore(soak_world& world, size_t) { world.store.setMode(store_mode::Serve); }
 
-    void harmCloud(soak_world& world, size_t, uint32_t detail)
+    void impairCloud(soak_world& world, size_t, uint32_t detail)
     {
         constexpr cloud_mode modes[] = { cloud_mode::Busy, cloud_mode::Down, cloud_mode::LoseAnswers, cloud_mode::Late };
         world.cloud.setMode(modes[detail % std::size(modes)]);
     }
 
-    void mendCloud(soak_world& world, size_t) { world.cloud.setMode(cloud_mode::Serve); }
+    void restoreCloud(soak_world& world, size_t) { world.cloud.setMode(cloud_mode::Serve); }
 
     void changeCatalog(soak_world& world, size_t, uint32_t) { sendNextCatalog(world); }
 
     constexpr fault faults[] = {
-        { "node_stopped", harmed_part::Node, true, 4200, 800, stopNode, endStoppedNode },
-        { "settings_renewed", harmed_part::Node, true, 300, 1200, renewSettings, restoreSettings },
-        { "endpoint_replaced", harmed_part::Endpoint, true, 5500, 2500, announceLeaving, replaceEndpoint },
-        { "catalog_changed", harmed_part::Catalog, true, 200, 2000, changeCatalog, nothing },
-        { "node_killed", harmed_part::Node, false, 200, 3000, killNode, reviveNode },
-        { "node_frozen", harmed_part::Node, false, 300, 4500, freezeNode, wakeNode },
-        { "store_link_harmed", harmed_part::StoreLink, false, 500, 5000, harmStoreLink, mendStoreLink },
-        { "store_link_reset", harmed_part::StoreLink, false, 0, 100, resetStoreLink, nothing },
-        { "caller_link_harmed", harmed_part::CallerLink, false, 200, 2500, harmCallerLink, mendCallerLink },
-        { "caller_link_reset", harmed_part::CallerLink, false, 0, 100, resetCallerLink, nothing },
-        { "endpoint_link_harmed", harmed_part::EndpointLink, false, 200, 2500, harmEndpointLink, mendEndpointLink },
-        { "endpoint_link_reset", harmed_part::EndpointLink, false, 0, 100, resetEndpointLink, nothing },
-        { "endpoint_misbehaves", harmed_part::Endpoint, false, 300, 3000, misbehave, behave },
-        { "entry_unreadable", harmed_part::Catalog, false, 100, 1500, spoilEntry, removeSpoiledEntry },
-        { "store_harmed", harmed_part::Store, false, 500, 5000, harmStore, mendStore },
-        { "cloud_harmed", harmed_part::Cloud, false, 1000, 6000, harmCloud, mendCloud },
+        { "node_stopped", fault_target::Node, true, 4200, 800, stopNode, restartStoppedNode },
+        { "settings_renewed", fault_target::Node, true, 300, 1200, reloadSettings, restoreSettings },
+        { "endpoint_replaced", fault_target::Endpoint, true, 5500, 2500, drainEndpoint, replaceEndpoint },
+        { "catalog_changed", fault_target::Catalog, true, 200, 2000, changeCatalog, noRepair },
+        { "node_killed", fault_target::Node, false, 200, 3000, killNode, restartKilledNode },
+        { "node_frozen", fault_target::Node, false, 300, 4500, freezeNode, resumeNode },
+        { "store_link_harmed", fault_target::StoreLink, false, 500, 5000, impairStoreLink, restoreStoreLink },
+        { "store_link_reset", fault_target::StoreLink, false, 0, 100, resetStoreLink, noRepair },
+        { "caller_link_harmed", fault_target::CallerLink, false, 200, 2500, impairCallerLink, restoreCallerLink },
+        { "caller_link_reset", fault_target::CallerLink, false, 0, 100, resetCallerLink, noRepair },
+        { "endpoint_link_harmed", fault_target::EndpointLink, false, 200, 2500, impairEndpointLink, restoreEndpointLink },
+        { "endpoint_link_reset", fault_target::EndpointLink, false, 0, 100, resetEndpointLink, noRepair },
+        { "endpoint_misbehaves", fault_target::Endpoint, false, 300, 3000, setFaultyBehavior, setHealthyBehavior },
+        { "entry_unreadable", fault_target::Catalog, false, 100, 1500, writeUnreadableEntry, removeUnreadableEntry },
+        { "store_harmed", fault_target::Store, false, 500, 5000, impairStore, restoreStore },
+        { "cloud_harmed", fault_target::Cloud, false, 1000, 6000, impairCloud, restoreCloud },
     };
 
-    /// Kills every node at once; played alone, as it harms all nodes.
-    constexpr fault powerLoss { "all_nodes_killed", harmed_part::Node, false, 300, 2000, killAll, reviveAll };
+    /// Kills all nodes at once. Not in the table: it may only start while no other node fault is active.
+    constexpr fault powerLoss { "all_nodes_killed", fault_target::Node, false, 300, 2000, killAllNodes, restartAllNodes };
+    /// One in this many draws causes a power loss, while no node fault is active.
     constexpr uint32_t powerLossOneIn = 25;
 
     struct active_fault {
-        const fault* what;
-        size_t which;
-        clock::time_point until;
+        const fault* definition;
+        size_t index;
+        clock::time_point endsAt;
     };
 
-    /// The state of a plan that is being played.
+    /// State of a running plan.
     struct plan_run {
         soak_world& world;
         const plan_settings& settings;
@@ -210,78 +211,78 @@
         std::map<std::string, int> counts;
     };
 
-    bool isFree(const plan_run& run, harmed_part part, size_t which)
+    bool isTargetFree(const plan_run& run, fault_target target, size_t index)
     {
-        return std::none_of(run.active.begin(), run.active.end(), [&](const active_fault& item) {
-            return item.what->part == part && (item.which == which || item.what == &powerLoss);
+        return std::none_of(run.active.begin(), run.active.end(), [&](const active_fault& active) {
+            return active.definition->target == target && (active.index == index || active.definition == &powerLoss);
         });
     }
 
-    bool anyNodeHarmed(const plan_run& run)
+    bool isAnyNodeFaulty(const plan_run& run)
     {
-        return std::any_of(run.active.begin(), run.active.end(), [](const active_fault& item) { return item.what->part == harmed_part::Node; });
+        return std::any_of(run.active.begin(), run.active.end(), [](const active_fault& active) { return active.definition->target == fault_target::Node; });
     }
 
-    size_t drawTarget(plan_run& run, harmed_part part)
+    size_t drawIndex(plan_run& run, fault_target target)
     {
-        const bool isOfEndpoint = part == harmed_part::Endpoint || part == harmed_part::EndpointLink;
-        const size_t count = isOfEndpoint ? run.world.endpoints.size() : run.world.nodes.size();
-        const bool isShared = part == harmed_part::Store || part == harmed_part::Cloud || part == harmed_part::Catalog;
+        const bool isEndpointTarget = target == fault_target::Endpoint || target == fault_target::EndpointLink;
+        const size_t count = isEndpointTarget ? run.world.endpoints.size() : run.world.nodes.size();
+        const bool isShared = target == fault_target::Store || target == fault_target::Cloud || target == fault_target::Catalog;
         return isShared ? 0 : Common::uniformBelow(run.random, static_cast<uint32_t>(count));
     }
 
-    void begin(plan_run& run, const fault& what, size_t which)
+    void startFault(plan_run& run, const fault& definition, size_t index)
     {
         constexpr uint32_t detailBound = 1000;
-        const milliseconds lasting(what.shortestMs + Common::uniformBelow(run.random, what.spreadMs));
-        if (!what.isPlanned)
-            run.world.checker.noteDisturbance(clock::now() + lasting);
-        ++run.counts[what.name];
-        what.cause(run.world, which, Common::uniformBelow(run.random, detailBound));
-        run.active.push_back({ &what, which, clock::now() + lasting });
+        const milliseconds duration(definition.minDurationMs + Common::uniformBelow(run.random, definition.durationSpreadMs));
+        if (!definition.isPlanned)
+            run.world.checker.recordDisturbance(clock::now() + duration);
+        ++run.counts[definition.name];
+        definition.cause(run.world, index, Common::uniformBelow(run.random, detailBound));
+        run.active.push_back({ &definition, index, clock::now() + duration });
     }
 
     void drawFault(plan_run& run)
     {
-        if (!run.settings.isPlannedOnly && !anyNodeHarmed(run) && Common::uniformBelow(run.random, powerLossOneIn) == 0)
-            return begin(run, powerLoss, 0);
-        const fault& what = faults[Common::uniformBelow(run.random, std::size(faults))];
-        if (run.settings.isPlannedOnly && !what.isPlanned)
+        if (!run.settings.isPlannedOnly && !isAnyNodeFaulty(run) && Common::uniformBelow(run.random, powerLossOneIn) == 0)
+            return startFault(run, powerLoss, 0);
+        const fault& definition = faults[Common::uniformBelow(run.random, std::size(faults))];
+        if (run.settings.isPlannedOnly && !definition.isPlanned)
             return;
-        const size_t which = drawTarget(run, what.part);
-        if (isFree(run, what.part, which))
-            begin(run, what, which);
+        const size_t index = drawIndex(run, definition.target);
+        if (isTargetFree(run, definition.target, index))
+            startFault(run, definition, index);
     }
 
-    void repairDue(plan_run& run, clock::time_point now)
+    void repairExpired(plan_run& run, clock::time_point now)
     {
-        std::erase_if(run.active, [&](const active_fault& item) {
-            if (item.until > now)
+        std::erase_if(run.active, [&](const active_fault& active) {
+            if (active.endsAt > now)
                 return false;
-            item.what->repair(run.world, item.which);
-            if (!item.what->isPlanned)
-                run.world.checker.noteDisturbance(clock::now());
+            active.definition->repair(run.world, active.index);
+            if (!active.definition->isPlanned)
+                run.world.checker.recordDisturbance(clock::now());
             return true;
         });
     }
 
 } // namespace
 
-std::map<std::string, int> playPlan(soak_world& world, const plan_settings& settings)
+std::map<std::string, int> runPlan(soak_world& world, const plan_settings& settings)
 {
     plan_run run { world, settings, Common::random_source(settings.seed), {}, {} };
-    const auto end = clock::now() + settings.length;
+    const auto end = clock::now() + settings.duration;
     auto nextAt = clock::now();
     while (clock::now() < end) {
-        repairDue(run, clock::now());
+        repairExpired(run, clock::now());
         checkProcesses(world);
-        if (clock::now() >= nextAt && run.active.size() < mostAtOnce) {
+        if (clock::now() >= nextAt && run.active.size() < maxActiveFaults) {
             drawFault(run);
-            nextAt = clock::now() + milliseconds(shortestPauseMs + Common::uniformBelow(run.random, pauseSpreadMs));
+            nextAt = clock::now() + milliseconds(minPauseMs + Common::uniformBelow(run.random, pauseSpreadMs));
         }
-        std::this_thread::sleep_for(planStep);
+        std::this_thread::sleep_for(pollInterval);
     }
-    repairDue(run, clock::time_point::max());
+    repairExpired(run, clock::time_point::max());
     return run.counts;
 }
 
--- a/Tests/Faults/SoakPlan.h
+++ b/Tests/Faults/SoakPlan.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Seeded faults, in series and overlapping, against a world of the soak.
+/// Seeded plan of sequential and overlapping faults for a soak run.
 
 #include "Common/Random.h"
 #include "Faults/SoakWorld.h"
@@ -14,12 +14,12 @@
 
 struct plan_settings {
     uint64_t seed { 1 };
-    std::chrono::milliseconds length { 20000 };
-    bool isPlannedOnly { false }; ///< Only what operators do on purpose.
+    std::chrono::milliseconds duration { 20000 };
+    bool isPlannedOnly { false }; ///< Only planned operations: restarts, drains, changes of settings and catalog.
 };
 
-/// Plays the plan; at its return all faults are repaired.
-/// @return how often each fault was caused.
-std::map<std::string, int> playPlan(soak_world& world, const plan_settings& settings);
+/// Causes and repairs faults for the plan's length. All faults are repaired on return.
+/// @return number of times each fault was caused, by name.
+std::map<std::string, int> runPlan(soak_world& world, const plan_settings& settings);
 
 } // namespace Faults
--- a/Tests/Faults/SoakWork.cpp
+++ b/Tests/Faults/SoakWork.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-    struct kind_facts {
+    struct kind_properties {
         work_kind kind;
         const char* prefix;
         const char* wireName;
@@ -18,25 +18,25 @@
         int maxEndpoints;
     };
 
-    constexpr std::array<kind_facts, workKindCount> kinds { {
+    constexpr std::array<kind_properties, workKindCount> kinds { {
         { work_kind::Idempotent, "/look/", "idempotent", false, 2 },
         { work_kind::AtMostOnce, "/post/", "unsafe", false, 2 },
         { work_kind::Stream, "/talk/", "streaming", false, 2 },
         { work_kind::ResumableStream, "/note/", "streaming", true, 3 },
     } };
 
-    constexpr uint32_t leastEvents = 3;
+    constexpr uint32_t minEvents = 3;
     constexpr uint32_t eventSpread = 12;
-    constexpr uint32_t leastLines = 1;
+    constexpr uint32_t minLines = 1;
     constexpr uint32_t lineSpread = 200;
     constexpr int routeTimeoutMs = 3000;
 
-    const kind_facts& factsOf(work_kind kind)
+    const kind_properties& propertiesOf(work_kind kind)
     {
         return kinds[static_cast<size_t>(kind)];
     }
 
-    uint32_t spread(std::string_view id, uint32_t bound)
+    uint32_t hashBelow(std::string_view id, uint32_t bound)
     {
         return static_cast<uint32_t>(Common::hash64(id) % bound);
     }
@@ -55,14 +55,14 @@
 
 std::string targetOf(const work_request& request)
 {
-    return fmt::format("{}x%2fy?n={}", factsOf(request.kind).prefix, request.id);
+    return fmt::format("{}x%2fy?n={}", propertiesOf(request.kind).prefix, request.id);
 }
 
 work_kind kindOf(std::string_view target)
 {
-    for (const kind_facts& facts : kinds) {
-        if (target.starts_with(facts.prefix))
-            return facts.kind;
+    for (const kind_properties& properties : kinds) {
+        if (target.starts_with(properties.prefix))
+            return properties.kind;
     }
     return work_kind::ResumableStream;
 }
@@ -72,7 +72,7 @@
     return fmt::format("what {} asks", id);
 }
 
-std::string writeRequest(const work_request& request)
+std::string serializeRequest(const work_request& request)
 {
     const std::string body = requestBody(request.id);
     return fmt::format("POST {} HTTP/1.1\r\nHost: {}\r\nX-Filbertreel-Attempt-Id: {}\r\nX-Filbertreel-Time-Budget: {}\r\n"
@@ -83,7 +83,7 @@
 std::string answerBody(std::string_view id)
 {
     std::string body;
-    const uint32_t lines = leastLines + spread(id, lineSpread);
+    const uint32_t lines = minLines + hashBelow(id, lineSpread);
     for (uint32_t line = 0; line < lines; ++line)
         body += fmt::format("{} of {}\n", line, id);
     return body;
@@ -91,7 +91,7 @@
 
 uint32_t eventCount(std::string_view id)
 {
-    return leastEvents + spread(id, eventSpread);
+    return minEvents + hashBelow(id, eventSpread);
 }
 
 std::string eventBytes(std::string_view id, uint32_t number)
@@ -99,7 +99,7 @@
     return fmt::format("id: {}\ndata: {} of {}\n\n", number, number, id);
 }
 
-std::string passingKey(uint64_t version)
+std::string temporaryKey(uint64_t version)
 {
     return fmt::format("key-{}", version);
 }
@@ -108,18 +108,18 @@
 {
     using nlohmann::json;
     json routes = json::array();
-    for (const kind_facts& facts : kinds) {
-        routes.push_back({ { "name", facts.prefix }, { "hostname", soakHost }, { "prefix", facts.prefix }, { "routeType", facts.wireName }, { "timeoutMs", routeTimeoutMs },
-            { "service", "s" }, { "maxAttempts", facts.maxEndpoints }, { "resumable", facts.isResumable } });
+    for (const kind_properties& properties : kinds) {
+        routes.push_back({ { "name", properties.prefix }, { "hostname", soakHost }, { "prefix", properties.prefix }, { "routeType", properties.wireName }, { "timeoutMs", routeTimeoutMs },
+            { "service", "s" }, { "maxAttempts", properties.maxEndpoints }, { "resumable", properties.isResumable } });
     }
-    const json passing { passingKey(version), passingKey(version - 1) };
+    const json temporaryKeys { temporaryKey(version), temporaryKey(version - 1) };
     return { { "version", version }, { "routes", routes }, { "services", { { { "name", "s" } } } },
-        { "tenants", { { { "name", "many" }, { "apiKeys", { lastingKey } } }, { { "name", "passing" }, { "apiKeys", passing } }, { { "name", limitedAccount }, { "apiKeys", { limitedKey } }, { "perS", limitedPerSecond }, { "burst", limitedBurst } } } } };
+        { "tenants", { { { "name", "many" }, { "apiKeys", { permanentKey } } }, { { "name", "passing" }, { "apiKeys", temporaryKeys } }, { { "name", limitedAccount }, { "apiKeys", { limitedKey } }, { "perS", limitedPerSecond }, { "burst", limitedBurst } } } } };
 }
 
 std::string accountOf(std::string_view key)
 {
-    if (key == lastingKey)
+    if (key == permanentKey)
         return "many";
     return std::string(key == limitedKey ? limitedAccount : "passing");
 }
--- a/Tests/Faults/SoakWork.h
+++ b/Tests/Faults/SoakWork.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// The requests of the soak and the answers that they must get. An endpoint and a caller work out the same answer from a
-/// request's id alone, so that a mixed-up answer shows.
+/// Requests of the soak and their expected answers. Endpoint and caller derive the same answer from the request's id
+/// alone, so that an answer delivered to the wrong request is detected.
 
 #include <cstdint>
 #include <string>
@@ -15,8 +15,8 @@
 enum class work_kind {
     Idempotent,
     AtMostOnce,
-    Stream, ///< Runs once; a broken one ends broken.
-    ResumableStream, ///< Goes on at another endpoint.
+    Stream, ///< Runs at most once; is not resumed when it breaks.
+    ResumableStream, ///< Is resumed at another endpoint when it breaks.
 };
 
 constexpr int workKindCount = 4;
@@ -24,7 +24,7 @@
 struct work_request {
     std::string id;
     work_kind kind { work_kind::Idempotent };
-    std::string key;
+    std::string key; ///< The caller's API key.
     int timeBudgetMs { 0 };
 };
 
@@ -33,37 +33,39 @@
 /// @return whether the answer is a stream of events.
 bool isStream(work_kind kind);
 
-/// @return path and query of a request.
+/// @return the request's path and query.
 std::string targetOf(const work_request& request);
-/// @return the kind that a path belongs to; the last kind for an unknown one.
+/// @return the kind of requests with this path; ResumableStream for an unknown path.
 work_kind kindOf(std::string_view target);
-/// @return the body that the caller sends.
+/// @return the request body for an id.
 std::string requestBody(std::string_view id);
-/// @return the whole request as bytes.
-std::string writeRequest(const work_request& request);
+/// @return the request as HTTP/1.1 bytes.
+std::string serializeRequest(const work_request& request);
 
-/// @return the body of a plain answer.
+/// @return the expected body of an answer that is not a stream.
 std::string answerBody(std::string_view id);
-/// @return how many events the stream of a request has.
+/// @return the number of events in the stream for a request id.
 uint32_t eventCount(std::string_view id);
-/// @return one event as bytes; the first is number 1.
+/// @return one server-sent event as bytes.
+/// @param number starts at 1.
 std::string eventBytes(std::string_view id, uint32_t number);
 
-/// Host that all routes of the soak have.
+/// Host name of all routes of the soak.
 inline constexpr std::string_view soakHost = "h.example";
-/// A key that every catalog holds, of an account without a limit.
-inline constexpr std::string_view lastingKey = "lasting";
-/// A key of an account with a limit.
+/// API key that is in every catalog, of an account without a limit.
+inline constexpr std::string_view permanentKey = "lasting";
+/// API key that is in every catalog, of limitedAccount.
 inline constexpr std::string_view limitedKey = "limited";
+/// Account with a request limit.
 inline constexpr std::string_view limitedAccount = "few";
-inline constexpr double limitedPerSecond = 15;
-inline constexpr double limitedBurst = 10;
+inline constexpr double limitedPerSecond = 15; ///< Requests per second.
+inline constexpr double limitedBurst = 10; ///< Requests.
 
-/// @return the key that only this version of the catalog and the one after it hold.
-std::string passingKey(uint64_t version);
-/// @return the catalog of the soak at a version.
+/// @return the API key that is only in this catalog version and the next one.
+std::string temporaryKey(uint64_t version);
+/// @return the soak's catalog with this version.
 nlohmann::json makeCatalog(uint64_t version);
-/// @return the account that holds a key.
+/// @return the account that an API key belongs to.
 std::string accountOf(std::string_view key);
 
 } // namespace Faults
--- a/Tests/Faults/SoakWorld.h
+++ b/Tests/Faults/SoakWorld.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Everything that a run of the soak consists of: the store, the cloud, real nodes and endpoints, with a proxy on each
-/// link that the plan may harm.
+/// The system under test in a soak run: store, cloud, real nodes and endpoints, with a proxy on each link that the fault
+/// plan may impair.
 
 #include "Faults/LoopbackProxy.h"
 #include "Faults/PromiseChecker.h"
@@ -24,43 +24,45 @@
     int endpoints { 3 };
 };
 
-/// A node with the links that it uses.
-struct node_site {
+/// A node and the proxies on its links.
+struct proxied_node {
     int number { 0 };
-    std::unique_ptr<loopback_proxy> storeLink;
-    std::unique_ptr<loopback_proxy> cloudLink;
+    std::unique_ptr<loopback_proxy> storeLink; ///< From the node to the store.
+    std::unique_ptr<loopback_proxy> cloudLink; ///< From the node to the cloud.
     std::unique_ptr<PlatformTests::running_node> node;
-    std::unique_ptr<loopback_proxy> callerLink;
-    std::atomic<bool> isMeantToRun { true };
+    std::unique_ptr<loopback_proxy> callerLink; ///< From the callers to the node.
+    std::atomic<bool> shouldBeRunning { true }; ///< False after the plan stopped or killed the process, or its end was reported.
 };
 
-/// An endpoint with the one link that all nodes reach it by.
-struct endpoint_site {
+/// An endpoint and the proxy through which all nodes reach it.
+struct proxied_endpoint {
     std::unique_ptr<soak_endpoint> endpoint;
     std::unique_ptr<loopback_proxy> link;
-    int64_t started { 1 };
+    int64_t incarnation { 1 }; ///< Counts the processes at this address; the "born" field of the store's row.
 };
 
+/// Starts all components on construction; the destructor stops them.
 struct soak_world {
     promise_checker& checker;
     PlatformTests::store_stand_in store;
     PlatformTests::cloud_stand_in cloud;
-    std::vector<std::unique_ptr<endpoint_site>> endpoints;
-    std::vector<std::unique_ptr<node_site>> nodes;
+    std::vector<std::unique_ptr<proxied_endpoint>> endpoints;
+    std::vector<std::unique_ptr<proxied_node>> nodes;
     std::atomic<uint64_t> catalogVersion { 10 };
 
     soak_world(const world_settings& settings, promise_checker& checker);
 };
 
-/// Writes an endpoint's entry into the store.
-void registerEndpoint(soak_world& world, endpoint_site& site, const char* state);
-/// The operator sends the next version of the catalog.
+/// Writes the endpoint's row to the store.
+/// @param state lifecycle state, "ready" or "draining".
+void registerEndpoint(soak_world& world, proxied_endpoint& proxied, const char* state);
+/// Writes the next catalog version to the store, as an operator does.
 void sendNextCatalog(soak_world& world);
-/// Starts a node's process once more.
-void startNode(soak_world& world, node_site& site);
-/// @return how callers reach the nodes.
-std::vector<node_doors> doorsOf(const soak_world& world);
-/// Reports nodes whose process ended by itself.
+/// Starts a new process for a node that has ended.
+void restartNode(soak_world& world, proxied_node& proxied);
+/// @return the ports at which callers reach the nodes.
+std::vector<node_ports> nodePortsOf(const soak_world& world);
+/// Records a breach for each node whose process ended although the plan did not stop it.
 void checkProcesses(soak_world& world);
 
 } // namespace Faults
