--- a/Tests/Faults/Driver.cpp
+++ b/Tests/Faults/Driver.cpp
@@ -238,7 +238,7 @@
     for (const release_record& record : records.releases) {
         const auto found = runs.find(record.key);
         const uint64_t count = found == runs.end() ? 0 : found->second;
-        counts.falseNotRun += record.result.isEveryTryNotRun && count > 0 ? 1 : 0;
+        counts.falseNotRun += record.result.isEveryAttemptNotRun && count > 0 ? 1 : 0;
         counts.confirmedWithoutRun += record.result.status == 200 && count == 0 ? 1 : 0;
     }
     return counts;
--- a/Tests/Faults/SoakPlan.cpp
+++ b/Tests/Faults/SoakPlan.cpp
@@ -88,7 +88,7 @@
         const bool hasEnded = Harness::waitForExit(proxied.node->child, stopTimeoutMs) == 0;
         // A process that gets SIGTERM before it handles signals is terminated by it; it has not accepted any requests yet.
         if (!hasEnded && proxied.node->hasBegun())
-            world.checker.recordBreach("ENDED", fmt::format("node {} did not exit with code 0 after SIGTERM: wait status {:#x}", proxied.number, proxied.node->child.endStatus));
+            world.checker.recordBreach("ENDED", fmt::format("node {} did not exit with code 0 after SIGTERM: wait status {:#x}", proxied.number, proxied.node->child.waitStatus));
         Harness::killProcess(proxied.node->child);
         restartNode(world, proxied);
     }
--- a/Tests/Harness/Callers.cpp
+++ b/Tests/Harness/Callers.cpp
@@ -14,32 +14,32 @@
     using nlohmann::json;
 
     constexpr std::chrono::milliseconds pollInterval { 20 };
-    constexpr std::chrono::milliseconds reconnectPause { 100 };
-    constexpr std::chrono::milliseconds refusalPause { 200 };
+    constexpr std::chrono::milliseconds reconnectDelay { 100 };
+    constexpr std::chrono::milliseconds refusalDelay { 200 };
 
-    /// Reads server-sent events.
+    /// Parses server-sent events and applies them to the result.
     struct event_reader {
         stream_result& result;
         const stream_request& request;
         std::string pending;
         std::string event;
-        std::string movedTo;
+        std::string redirectUrl;
 
-        void takePosition(const std::string& id)
+        void applyEventId(const std::string& id)
         {
             const size_t colon = id.rfind(':');
             result.requestId = id.substr(0, colon);
             result.isAccepted = true;
             const uint64_t position = Common::parseUnsigned(id.substr(colon + 1)).value_or(0);
-            const bool isHead = position == result.tokens;
-            result.isOutOfOrder = result.isOutOfOrder || (!isHead && position != result.tokens + 1);
+            const bool isWithoutToken = position == result.tokens;
+            result.isOutOfOrder = result.isOutOfOrder || (!isWithoutToken && position != result.tokens + 1);
         }
 
-        void takeData(const std::string& data)
+        void applyData(const std::string& data)
         {
             const json body = json::parse(data, nullptr, false);
             if (event == "moved") {
-                movedTo = body.value("location", "");
+                redirectUrl = body.value("location", "");
                 return;
             }
             if (event == "error") {
@@ -59,24 +59,24 @@
                 result.isFinished = true;
         }
 
-        void takeLine(const std::string& line)
+        void parseLine(const std::string& line)
         {
             if (line.starts_with("id: "))
-                takePosition(line.substr(4));
+                applyEventId(line.substr(4));
             else if (line.starts_with("event: "))
                 event = line.substr(7);
             else if (line.starts_with("data: "))
-                takeData(line.substr(6));
+                applyData(line.substr(6));
             else if (line.empty())
                 event.clear();
         }
 
-        void take(std::string_view bytes)
+        void feed(std::string_view bytes)
         {
             pending.append(bytes);
             size_t end = 0;
             while ((end = pending.find('\n')) != std::string::npos) {
-                takeLine(pending.substr(0, end));
+                parseLine(pending.substr(0, end));
                 pending.erase(0, end + 1);
             }
         }
@@ -84,7 +84,7 @@
 
     struct stream_end {
         int status { 0 };
-        std::string movedTo;
+        std::string redirectUrl;
     };
 
     stream_end runStream(const cluster& target, const stream_request& request, stream_result& result, const std::string& method, const std::string& url, const std::string& body)
@@ -99,16 +99,16 @@
         event_reader reader { result, request, {}, {}, {} };
         std::optional<Http::transfer_answer> answer;
         client.start(
-            std::move(outgoing), [&answer](Http::transfer_answer&& item) { answer = std::move(item); },
+            std::move(outgoing), [&answer](Http::transfer_answer&& completed) { answer = std::move(completed); },
             [&reader](long status, std::string_view bytes) {
                 if (status == 200)
-                    reader.take(bytes);
+                    reader.feed(bytes);
             });
         while (!answer)
             client.poll(pollInterval);
         if (!answer->redirectUrl.empty())
-            reader.movedTo = answer->redirectUrl;
-        return { static_cast<int>(answer->status), reader.movedTo };
+            reader.redirectUrl = answer->redirectUrl;
+        return { static_cast<int>(answer->status), reader.redirectUrl };
     }
 
 } // namespace
@@ -119,24 +119,24 @@
     const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(request.timeLimitMilliseconds);
     const json body { { "model", "inspection-summary" }, { "stream", true }, { "max_tokens", request.tokens }, { "messages", json::array({ { { "role", "user" }, { "content", request.prompt } } }) } };
     int node = request.firstNode;
-    std::string movedTo;
+    std::string redirectUrl;
     while (std::chrono::steady_clock::now() < end && !result.isFinished && result.error.empty()) {
-        stream_end last;
+        stream_end streamEnd;
         if (!result.isAccepted) {
-            last = runStream(target, request, result, "POST", target.nodeUrl(node) + "/v1/chat/completions", body.dump());
+            streamEnd = runStream(target, request, result, "POST", target.nodeUrl(node) + "/v1/chat/completions", body.dump());
         } else {
             ++result.reconnects;
-            const std::string url = movedTo.empty() ? target.nodeUrl(node) + "/v1/requests/" + result.requestId : movedTo;
-            last = runStream(target, request, result, "GET", url, "");
+            const std::string url = redirectUrl.empty() ? target.nodeUrl(node) + "/v1/requests/" + result.requestId : redirectUrl;
+            streamEnd = runStream(target, request, result, "GET", url, "");
         }
         if (result.isFinished)
             break;
-        movedTo = last.movedTo;
-        if (!movedTo.empty())
+        redirectUrl = streamEnd.redirectUrl;
+        if (!redirectUrl.empty())
             continue;
-        result.refusals += last.status >= 400 ? 1 : 0;
+        result.refusals += streamEnd.status >= 400 ? 1 : 0;
         node = node % target.settings().nodes + 1;
-        std::this_thread::sleep_for(last.status >= 400 ? refusalPause : reconnectPause);
+        std::this_thread::sleep_for(streamEnd.status >= 400 ? refusalDelay : reconnectDelay);
     }
     return result;
 }
@@ -149,12 +149,12 @@
     return result.isFinished && !result.isOutOfOrder && result.tokens == request.tokens && result.text == expected;
 }
 
-call_result releaseCrates(const cluster& target, const std::string& key, const std::string& body, int firstNode, int maxTries, int timeLimitMilliseconds)
+call_result releaseCrates(const cluster& target, const std::string& key, const std::string& body, int firstNode, int maxAttempts, int timeLimitMilliseconds)
 {
     call_result result;
     int node = firstNode;
-    while (result.tries < maxTries) {
-        ++result.tries;
+    while (result.attempts < maxAttempts) {
+        ++result.attempts;
         const http_answer answer = call("POST", target.nodeUrl(node) + "/v1/services/crate-release/releases", body,
             { { "Authorization", "Bearer " + target.accountKey() }, { "Idempotency-Key", key } }, timeLimitMilliseconds);
         result.status = answer.end == Http::transfer_end::Complete ? answer.status : 0;
@@ -162,12 +162,12 @@
         const bool isFailure = parsed.is_object() && parsed.contains("error");
         result.code = isFailure ? parsed["error"].value("code", "") : "";
         result.run = isFailure ? parsed["error"].value("run", "") : "";
-        result.isEveryTryNotRun = result.isEveryTryNotRun && result.run == "not_run";
+        result.isEveryAttemptNotRun = result.isEveryAttemptNotRun && result.run == "not_run";
         const bool isFinal = result.status == 200 || result.code == "outcome_unknown" || result.code == "idempotency_key_reused";
         if (isFinal)
             return result;
         node = node % target.settings().nodes + 1;
-        std::this_thread::sleep_for(refusalPause);
+        std::this_thread::sleep_for(refusalDelay);
     }
     return result;
 }
--- a/Tests/Harness/Cluster.cpp
+++ b/Tests/Harness/Cluster.cpp
@@ -19,11 +19,11 @@
     using nlohmann::json;
 
     constexpr std::chrono::milliseconds pollInterval { 20 };
-    constexpr int nodeOffset = 100;
-    constexpr int engineOffset = 200;
-    constexpr int ledgerOffset = 300;
-    constexpr int peerOffset = 500;
-    constexpr int relayOffset = 700;
+    constexpr int nodePortOffset = 100;
+    constexpr int enginePortOffset = 200;
+    constexpr int ledgerPortOffset = 300;
+    constexpr int peerPortOffset = 500;
+    constexpr int relayPortOffset = 700;
     constexpr std::string_view operatorKey = "test-operator-key";
 
     const char* zoneOf(int number)
@@ -31,7 +31,7 @@
         return number % 2 == 1 ? "east" : "west";
     }
 
-    std::string localUrl(int port)
+    std::string loopbackUrl(int port)
     {
         return "http://127.0.0.1:" + std::to_string(port);
     }
@@ -60,8 +60,8 @@
     request.mayRepeat = false;
     request.timeLimit = std::chrono::milliseconds(timeLimitMilliseconds);
     std::optional<http_answer> answer;
-    client.start(std::move(request), [&answer](Http::transfer_answer&& item) {
-        answer = http_answer { item.end, static_cast<int>(item.status), std::move(item.body), std::move(item.redirectUrl) };
+    client.start(std::move(request), [&answer](Http::transfer_answer&& completed) {
+        answer = http_answer { completed.end, static_cast<int>(completed.status), std::move(completed.body), std::move(completed.redirectUrl) };
     });
     while (!answer)
         client.poll(pollInterval);
@@ -71,7 +71,7 @@
 cluster::cluster(cluster_settings settings)
     : m_settings(std::move(settings))
 {
-    // Two runs on one machine, such as the mutation runs, must not share ports.
+    // Concurrent runs on one machine, such as mutation tests, need separate ports.
     if (const char* offset = std::getenv("FILBERTREEL_TEST_PORT_OFFSET"))
         m_settings.basePort = static_cast<uint16_t>(m_settings.basePort + std::atoi(offset));
     m_logFolder = std::filesystem::temp_directory_path() / ("filbertreel-" + std::to_string(getpid()) + "-" + std::to_string(m_settings.basePort));
@@ -93,7 +93,7 @@
     if (!std::getenv("KEEP_LOGS"))
         std::filesystem::remove_all(m_logFolder);
     else
-        std::cerr << "logs in " << m_logFolder << "\n";
+        std::cerr << "process logs are in " << m_logFolder << "\n";
 }
 
 void cluster::start()
@@ -115,12 +115,12 @@
 
 int cluster::peerPort(int number) const
 {
-    return m_settings.basePort + number + (m_settings.hasRelays ? relayOffset : peerOffset);
+    return m_settings.basePort + number + (m_settings.hasRelays ? relayPortOffset : peerPortOffset);
 }
 
 void cluster::startRelay(int number)
 {
-    const std::vector<std::string> arguments { STANDIN_PROGRAM, "relay", "--port", std::to_string(peerPort(number)), "--target-port", std::to_string(m_settings.basePort + peerOffset + number) };
+    const std::vector<std::string> arguments { STANDIN_PROGRAM, "relay", "--port", std::to_string(peerPort(number)), "--target-port", std::to_string(m_settings.basePort + peerPortOffset + number) };
     m_relays[number] = startProcess(arguments, {}, m_logFolder + "/relay-" + std::to_string(number) + ".log");
 }
 
@@ -133,9 +133,9 @@
         "--zone", zoneOf(number),
         "--region", "midlands",
         "--http-listen", nodeUrl(number).substr(7),
-        "--peer-listen", localUrl(m_settings.basePort + peerOffset + number).substr(7),
-        "--peer-advertise", localUrl(peerPort(number)).substr(7),
-        "--peer", localUrl(peerPort(seed)).substr(7),
+        "--peer-listen", loopbackUrl(m_settings.basePort + peerPortOffset + number).substr(7),
+        "--peer-advertise", loopbackUrl(peerPort(number)).substr(7),
+        "--peer", loopbackUrl(peerPort(seed)).substr(7),
         "--table-url", tableUrl(),
         "--cloud-url", cloudUrl(),
         "--operator-key", std::string(operatorKey)
@@ -147,7 +147,7 @@
 void cluster::startEngine(int number)
 {
     const std::string name = "engine-" + std::to_string(number);
-    std::vector<std::string> arguments { STANDIN_PROGRAM, "engine", "--port", std::to_string(m_settings.basePort + engineOffset + number), "--name", name, "--slots", std::to_string(m_settings.engineSlots) };
+    std::vector<std::string> arguments { STANDIN_PROGRAM, "engine", "--port", std::to_string(m_settings.basePort + enginePortOffset + number), "--name", name, "--slots", std::to_string(m_settings.engineSlots) };
     arguments.insert(arguments.end(), m_settings.engineOptions.begin(), m_settings.engineOptions.end());
     m_engines[number] = startProcess(arguments, {}, m_logFolder + "/" + name + ".log");
     listEndpoint(name, "engine", "summary-model", engineUrl(number), zoneOf(number));
@@ -156,15 +156,15 @@
 void cluster::startLedger(int number)
 {
     const std::string name = "ledger-" + std::to_string(number);
-    m_ledgers[number] = startProcess({ STANDIN_PROGRAM, "service", "--port", std::to_string(m_settings.basePort + ledgerOffset + number), "--name", name }, {}, m_logFolder + "/" + name + ".log");
+    m_ledgers[number] = startProcess({ STANDIN_PROGRAM, "service", "--port", std::to_string(m_settings.basePort + ledgerPortOffset + number), "--name", name }, {}, m_logFolder + "/" + name + ".log");
     listEndpoint(name, "service", "ledger", ledgerUrl(number), zoneOf(number));
 }
 
-std::string cluster::nodeUrl(int number) const { return localUrl(m_settings.basePort + nodeOffset + number); }
-std::string cluster::tableUrl() const { return localUrl(m_settings.basePort); }
-std::string cluster::cloudUrl() const { return localUrl(m_settings.basePort + 1); }
-std::string cluster::engineUrl(int number) const { return localUrl(m_settings.basePort + engineOffset + number); }
-std::string cluster::ledgerUrl(int number) const { return localUrl(m_settings.basePort + ledgerOffset + number); }
+std::string cluster::nodeUrl(int number) const { return loopbackUrl(m_settings.basePort + nodePortOffset + number); }
+std::string cluster::tableUrl() const { return loopbackUrl(m_settings.basePort); }
+std::string cluster::cloudUrl() const { return loopbackUrl(m_settings.basePort + 1); }
+std::string cluster::engineUrl(int number) const { return loopbackUrl(m_settings.basePort + enginePortOffset + number); }
+std::string cluster::ledgerUrl(int number) const { return loopbackUrl(m_settings.basePort + ledgerPortOffset + number); }
 
 json cluster::control(const std::string& url, const json& change) const
 {
@@ -178,8 +178,8 @@
 
 json cluster::status(int number) const
 {
-    constexpr int statusTimeLimit = 1000;
-    const http_answer answer = call("GET", nodeUrl(number) + "/operator/v1/status", "", { { "Authorization", "Bearer " + std::string(operatorKey) } }, statusTimeLimit);
+    constexpr int statusTimeLimitMs = 1000;
+    const http_answer answer = call("GET", nodeUrl(number) + "/operator/v1/status", "", { { "Authorization", "Bearer " + std::string(operatorKey) } }, statusTimeLimitMs);
     return answer.status == 200 ? json::parse(answer.body, nullptr, false) : json();
 }
 
@@ -191,7 +191,7 @@
 
 void cluster::listEndpoint(const std::string& id, const std::string& role, const std::string& service, const std::string& url, const std::string& zone, bool isLeaving, const std::string& version) const
 {
-    json item {
+    json instance {
         { "id", id },
         { "role", role },
         { "service", service },
@@ -203,13 +203,13 @@
         { "slots", m_settings.engineSlots },
         { "state", isLeaving ? "leaving" : "running" },
     };
-    control(cloudUrl(), { { "set", json::array({ item }) } });
+    control(cloudUrl(), { { "set", json::array({ instance }) } });
 }
 
 bool cluster::waitFor(const std::string& url, int milliseconds) const
 {
-    constexpr int oneTry = 500;
-    return waitUntil(milliseconds, [&url] { return call("GET", url, "", {}, oneTry).status == 200; });
+    constexpr int attemptTimeLimitMs = 500;
+    return waitUntil(milliseconds, [&url] { return call("GET", url, "", {}, attemptTimeLimitMs).status == 200; });
 }
 
 bool cluster::waitForVersion(int64_t version, int milliseconds) const
@@ -251,8 +251,8 @@
         { { "name", "crate-release" }, { "work", "service" }, { "service", "ledger" }, { "idempotent", false }, { "answer_ms", 5000 } },
         { { "name", "stock-lookup" }, { "work", "service" }, { "service", "ledger" }, { "answer_ms", 2000 } },
     };
-    for (const json& item : classes)
-        propose(1, { { "kind", "class" }, { "body", item } });
+    for (const json& requestClass : classes)
+        propose(1, { { "kind", "class" }, { "body", requestClass } });
     m_accountKey = Configuration::generateKey();
     const json account { { "name", "depot-east" }, { "key_digest", Configuration::digestKey(m_accountKey) } };
     propose(1, { { "kind", "account" }, { "body", account } });
--- a/Tests/Harness/Process.cpp
+++ b/Tests/Harness/Process.cpp
@@ -16,11 +16,11 @@
     constexpr std::chrono::milliseconds pollInterval { 10 };
     constexpr int fileMode = 0644;
 
-    std::vector<char*> toPointers(const std::vector<std::string>& texts)
+    std::vector<char*> toPointers(const std::vector<std::string>& strings)
     {
         std::vector<char*> pointers;
-        for (const std::string& text : texts)
-            pointers.push_back(const_cast<char*>(text.c_str()));
+        for (const std::string& string : strings)
+            pointers.push_back(const_cast<char*>(string.c_str()));
         pointers.push_back(nullptr);
         return pointers;
     }
@@ -34,7 +34,7 @@
     const pid_t pid = fork();
     if (pid != 0)
         return { pid, 0 };
-    // A test that is killed must not leave its children behind.
+    // Kill the child when the test process ends, also when that one was killed itself.
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     const int log = open(logFile.c_str(), O_WRONLY | O_CREAT | O_APPEND, fileMode);
     dup2(log, STDOUT_FILENO);
@@ -47,7 +47,7 @@
 {
     if (child.pid <= 0)
         return false;
-    if (waitpid(child.pid, &child.endStatus, WNOHANG) == 0)
+    if (waitpid(child.pid, &child.waitStatus, WNOHANG) == 0)
         return true;
     child.pid = -1;
     return false;
@@ -64,7 +64,7 @@
     const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(milliseconds);
     while (child.pid > 0 && std::chrono::steady_clock::now() < end) {
         if (!isRunning(child))
-            return WIFEXITED(child.endStatus) ? WEXITSTATUS(child.endStatus) : -1;
+            return WIFEXITED(child.waitStatus) ? WEXITSTATUS(child.waitStatus) : -1;
         std::this_thread::sleep_for(pollInterval);
     }
     return -1;
