--- a/Source/Filbertreel/Client.cpp
+++ b/Source/Filbertreel/Client.cpp
@@ -14,11 +14,11 @@
     constexpr std::chrono::milliseconds timeLimit { 15000 };
     constexpr std::chrono::milliseconds pollInterval { 100 };
 
-    Http::transfer_answer transfer(Http::outgoing_request request)
+    Http::transfer_answer runTransfer(Http::outgoing_request request)
     {
         Http::client client;
         std::optional<Http::transfer_answer> answer;
-        client.start(std::move(request), [&answer](Http::transfer_answer&& item) { answer = std::move(item); });
+        client.start(std::move(request), [&answer](Http::transfer_answer&& received) { answer = std::move(received); });
         while (!answer)
             client.poll(pollInterval);
         return std::move(*answer);
@@ -33,7 +33,7 @@
         return request;
     }
 
-    command_result<ordered_json> read(const Http::transfer_answer& answer)
+    command_result<ordered_json> parseAnswer(const Http::transfer_answer& answer)
     {
         ordered_json body = ordered_json::parse(answer.body, nullptr, false);
         const int status = static_cast<int>(answer.status);
@@ -49,9 +49,9 @@
 command_result<ordered_json> get(const connection_settings& settings, const std::string& path)
 {
     for (const std::string& node : settings.nodes) {
-        const Http::transfer_answer answer = transfer(makeRequest(settings, node + path));
+        const Http::transfer_answer answer = runTransfer(makeRequest(settings, node + path));
         if (answer.end == Http::transfer_end::Complete)
-            return read(answer);
+            return parseAnswer(answer);
     }
     return tl::unexpected(command_failure {});
 }
@@ -63,9 +63,9 @@
         request.method = "POST";
         request.mayRepeat = false;
         request.body = body.dump();
-        const Http::transfer_answer answer = transfer(std::move(request));
+        const Http::transfer_answer answer = runTransfer(std::move(request));
         if (answer.end == Http::transfer_end::Complete)
-            return read(answer);
+            return parseAnswer(answer);
         if (answer.end != Http::transfer_end::NotSent)
             return tl::unexpected(command_failure { command_failure_kind::Unreadable, 0, {} });
     }
--- a/Source/Filbertreel/ExplainLog.cpp
+++ b/Source/Filbertreel/ExplainLog.cpp
@@ -15,14 +15,14 @@
 
     using nlohmann::json;
 
-    /// What a node came to believe so long before a request's end may have decided it.
+    /// State changes of a node are shown from this long before the request's first line, as they may explain its outcome.
     constexpr int64_t lookBackMs = 5000;
 
-    /// Events that change what a node believes; those of endpoints count only for the request's own.
-    const std::set<std::string> beliefs { "store_lost", "store_regained", "catalog_in_force", "member_changed", "node_started",
+    /// Events that report a change in a node's state. Changes of endpoints are shown only for endpoints of the request.
+    const std::set<std::string> nodeStateEvents { "store_lost", "store_regained", "catalog_in_force", "member_changed", "node_started",
         "node_leaving", "settings_reloaded", "version_share", "version_latched", "lease_lost" };
 
-    std::string textOf(const json& fields, const char* name)
+    std::string stringField(const json& fields, const char* name)
     {
         const auto found = fields.find(name);
         return found != fields.end() && found->is_string() ? found->get<std::string>() : std::string();
@@ -45,27 +45,27 @@
         int64_t lastMs { 0 };
     };
 
-    request_trace traceOf(const std::vector<log_line>& lines, const std::string& request)
+    request_trace collectTrace(const std::vector<log_line>& lines, const std::string& request)
     {
         request_trace trace;
         for (const log_line& line : lines) {
-            if (textOf(line.fields, "request") != request)
+            if (stringField(line.fields, "request") != request)
                 continue;
             trace.nodes.insert(line.node);
-            trace.endpoints.insert(textOf(line.fields, "endpoint"));
+            trace.endpoints.insert(stringField(line.fields, "endpoint"));
             trace.firstMs = std::min(trace.firstMs, line.timeMs);
             trace.lastMs = std::max(trace.lastMs, line.timeMs);
         }
         return trace;
     }
 
-    bool belongs(const log_line& line, const request_trace& trace)
+    bool isContext(const log_line& line, const request_trace& trace)
     {
         if (!trace.nodes.contains(line.node) || line.timeMs > trace.lastMs || line.timeMs < trace.firstMs - lookBackMs)
             return false;
         if (line.event == "endpoint_changed")
-            return trace.endpoints.contains(textOf(line.fields, "endpoint"));
-        return beliefs.contains(line.event);
+            return trace.endpoints.contains(stringField(line.fields, "endpoint"));
+        return nodeStateEvents.contains(line.event);
     }
 
 } // namespace
@@ -79,18 +79,18 @@
     line.fields = json::parse(text.substr(start), nullptr, false);
     if (!line.fields.is_object())
         return line;
-    line.event = textOf(line.fields, "event");
-    line.node = textOf(line.fields, "node");
+    line.event = stringField(line.fields, "event");
+    line.node = stringField(line.fields, "node");
     line.timeMs = line.fields.value("time_ms", int64_t { 0 });
     return line;
 }
 
 std::vector<log_line> selectLines(const std::vector<log_line>& lines, const std::string& request)
 {
-    const request_trace trace = traceOf(lines, request);
+    const request_trace trace = collectTrace(lines, request);
     std::vector<log_line> selected;
     for (const log_line& line : lines) {
-        if (textOf(line.fields, "request") == request || belongs(line, trace))
+        if (stringField(line.fields, "request") == request || isContext(line, trace))
             selected.push_back(line);
     }
     std::stable_sort(selected.begin(), selected.end(), [](const log_line& left, const log_line& right) { return left.timeMs < right.timeMs; });
@@ -118,7 +118,7 @@
         }
         std::ifstream file(path);
         if (!file) {
-            output << "can't be opened: " << path << '\n';
+            output << "can't open log file: " << path << '\n';
             return exitBadUsage;
         }
         readLines(file, lines);
@@ -127,7 +127,7 @@
     for (const log_line& line : selected)
         output << describeLine(line) << '\n';
     if (selected.empty())
-        output << "no line names request " << request << '\n';
+        output << "no log line has the request id " << request << '\n';
     return selected.empty() ? exitRefused : exitOk;
 }
 
--- a/Source/Filbertreel/ExplainLog.h
+++ b/Source/Filbertreel/ExplainLog.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Finds what the logs of the nodes say of one request, and of what its node believed at that time.
+/// Selects the log lines of one request, and those about the state of its node at that time, from the nodes' logs.
 
 #include <iosfwd>
 #include <string>
@@ -12,32 +12,32 @@
 
 namespace Filbertreel {
 
-/// One line of a log.
+/// One parsed line of a node's log.
 struct log_line {
-    int64_t timeMs { 0 };
+    int64_t timeMs { 0 }; ///< Unix time.
     std::string node;
-    std::string event;
-    nlohmann::json fields;
+    std::string event; ///< Empty when the line holds no log event.
+    nlohmann::json fields; ///< The whole JSON object, including time, node and event.
 };
 
-/// @param text a line; what stands before the JSON object is passed over.
-/// @return the line; its event is empty when it holds none.
+/// @param text a line of a log; text before the first `{` is ignored.
+/// @return the parsed line; its event is empty when the text holds no JSON object or the object has no event.
 log_line parseLogLine(std::string_view text);
 
-/// @param lines lines of all nodes, in any order.
-/// @param request id of a request.
-/// @return the lines of the request, and those of its node or of its endpoints shortly before it ended, by time.
+/// @param lines log lines of all nodes, in any order.
+/// @param request id of the request.
+/// @return by time, the lines with the request's id, and those about changes in the state of its nodes and endpoints
+/// from shortly before its first line to its last.
 std::vector<log_line> selectLines(const std::vector<log_line>& lines, const std::string& request);
 
-/// @param line a line.
-/// @return the line for a reader: time, node, event, members.
+/// @return the line as text for people: time in ms, node, event, then the other fields as name=value.
 std::string describeLine(const log_line& line);
 
-/// Reads logs and prints what they say of a request.
-/// @param request its id.
-/// @param paths files; "-" is the standard input.
-/// @param output receives the lines.
-/// @return the exit code: refused when no line names the request.
+/// Reads logs and prints the lines that explain a request.
+/// @param request id of the request.
+/// @param paths log files; "-" is the standard input.
+/// @param output receives the lines and the error messages.
+/// @return the program's exit code: exitRefused when no line has the request's id, exitBadUsage when a file can't be opened.
 int explainLog(const std::string& request, const std::vector<std::string>& paths, std::ostream& output);
 
 } // namespace Filbertreel
--- a/Source/Filbertreel/Main.cpp
+++ b/Source/Filbertreel/Main.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// The operators' command: classes of work, client accounts, versions, status, audit trail and explanations.
+/// The operators' command line tool: classes of work, client accounts, versions, rollouts, status, audit trail, and
+/// explanations of requests.
 
 #include "Configuration/Secret.h"
 #include "Filbertreel/Client.h"
@@ -35,13 +36,18 @@
     int64_t deadlineSeconds { 0 };
 };
 
-int64_t wallMilliseconds()
+int64_t unixMilliseconds()
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
-/// Prints whole as JSON, or the rows under a member as a table.
-int show(const command_options& options, const command_result<ordered_json>& answer, const std::string& member, const std::vector<std::string>& columns)
+/// Prints an answer, or the error in its place.
+/// @param options whether to print the whole answer as JSON.
+/// @param answer the node's answer.
+/// @param member member of the answer that holds the rows of the table; empty prints the answer itself as one row.
+/// @param columns members of a row to print, in order.
+/// @return the program's exit code.
+int printAnswer(const command_options& options, const command_result<ordered_json>& answer, const std::string& member, const std::vector<std::string>& columns)
 {
     if (!answer)
         return printFailure(answer.error());
@@ -53,20 +59,25 @@
     return Filbertreel::exitOk;
 }
 
-int propose(const command_options& options, const std::string& kind, bool isRemoval)
+/// Sends a change of the configuration and prints the answer.
+/// @param options the change's body, actor and cause, and the version it was decided on (0: none).
+/// @param kind kind of the changed entry.
+/// @param isRemoval whether the entry is removed.
+/// @return the program's exit code.
+int submitChange(const command_options& options, const std::string& kind, bool isRemoval)
 {
     json change { { "kind", kind }, { "remove", isRemoval }, { "actor", options.actor }, { "cause", options.cause } };
     change["body"] = options.body;
     if (options.seenVersion > 0)
         change["seen_version"] = options.seenVersion;
-    return show(options, post(options.connection, std::string(changesPath), change), "", { "version", "kind", "actor", "made_at_ms", "cause" });
+    return printAnswer(options, post(options.connection, std::string(changesPath), change), "", { "version", "kind", "actor", "made_at_ms", "cause" });
 }
 
 int showStatus(const command_options& options)
 {
     const auto answer = get(options.connection, "/operator/v1/status");
     if (!answer || options.isJson)
-        return show(options, answer, "", {});
+        return printAnswer(options, answer, "", {});
     std::cout << "node " << answer->at("node") << " in zone " << answer->at("zone") << ", configuration version " << answer->at("configuration_version") << "\n\n";
     Filbertreel::printTable(answer->at("members"), { "node", "zone", "status", "http", "incarnation" });
     std::cout << "\n";
@@ -78,14 +89,15 @@
 {
     const std::string key = Configuration::generateKey();
     options.body["key_digest"] = Configuration::digestKey(key);
-    const int code = propose(options, "account", false);
+    const int code = submitChange(options, "account", false);
     if (code == Filbertreel::exitOk)
         std::cout << (options.isJson ? "{\"key\":\"" + key + "\"}" : "key (shown once): " + key) << "\n";
     return code;
 }
 
+/// Adds an option whose value is stored as a member of the change's body; an option that isn't given adds no member.
 template <typename value_type>
-void addMember(CLI::App& app, const std::string& flag, json& body, const std::string& member, const std::string& help, bool isRequired = false)
+void addBodyOption(CLI::App& app, const std::string& flag, json& body, const std::string& member, const std::string& help, bool isRequired = false)
 {
     app.add_option_function<value_type>(
            flag, [&body, member](const value_type& value) { body[member] = value; }, help)
@@ -94,9 +106,9 @@
 
 void addChangeOptions(CLI::App& app, command_options& options)
 {
-    app.add_option("--actor", options.actor, "Who makes the change")->envname("FILBERTREEL_ACTOR");
-    app.add_option("--cause", options.cause, "Why, for the audit trail");
-    app.add_option("--seen-version", options.seenVersion, "Configuration version that this change was decided on");
+    app.add_option("--actor", options.actor, "Who makes the change, for the audit trail")->envname("FILBERTREEL_ACTOR");
+    app.add_option("--cause", options.cause, "Reason for the change, for the audit trail");
+    app.add_option("--seen-version", options.seenVersion, "Configuration version that this change is based on");
 }
 
 void addClassCommands(CLI::App& app, command_options& options, int& code)
@@ -104,20 +116,20 @@
     CLI::App* group = app.add_subcommand("class", "Classes of work and their targets");
     group->require_subcommand(1);
     CLI::App* set = group->add_subcommand("set", "Create or change a class of work");
-    addMember<std::string>(*set, "name", options.body, "name", "Name of the class", true);
-    addMember<std::string>(*set, "--work", options.body, "work", "model or service");
-    addMember<std::string>(*set, "--service", options.body, "service", "Model or service that serves the class", true);
-    addMember<bool>(*set, "--idempotent", options.body, "idempotent", "Whether a call may run twice (true or false)");
-    addMember<int64_t>(*set, "--first-token-ms", options.body, "first_token_ms", "Target for the first token");
-    addMember<int64_t>(*set, "--between-tokens-ms", options.body, "between_tokens_ms", "Target between tokens");
-    addMember<int64_t>(*set, "--answer-ms", options.body, "answer_ms", "Target for the whole answer");
-    addMember<int64_t>(*set, "--max-cost-micro", options.body, "max_cost_micro", "Bound on the cost of a thousand tokens");
-    addMember<int64_t>(*set, "--priority", options.body, "priority", "0 to 9");
+    addBodyOption<std::string>(*set, "name", options.body, "name", "Name of the class", true);
+    addBodyOption<std::string>(*set, "--work", options.body, "work", "model or service");
+    addBodyOption<std::string>(*set, "--service", options.body, "service", "Model or service that serves the class", true);
+    addBodyOption<bool>(*set, "--idempotent", options.body, "idempotent", "Whether a call may run twice (true or false)");
+    addBodyOption<int64_t>(*set, "--first-token-ms", options.body, "first_token_ms", "Target for the time to the first token, in ms");
+    addBodyOption<int64_t>(*set, "--between-tokens-ms", options.body, "between_tokens_ms", "Target for the time between tokens, in ms");
+    addBodyOption<int64_t>(*set, "--answer-ms", options.body, "answer_ms", "Target for the time to the whole answer, in ms");
+    addBodyOption<int64_t>(*set, "--max-cost-micro", options.body, "max_cost_micro", "Upper limit of the cost of 1000 tokens, in millionths of the currency unit");
+    addBodyOption<int64_t>(*set, "--priority", options.body, "priority", "Priority, 0 to 9");
     addChangeOptions(*set, options);
-    set->callback([&options, &code] { code = propose(options, "class", false); });
+    set->callback([&options, &code] { code = submitChange(options, "class", false); });
     CLI::App* list = group->add_subcommand("list", "Show the classes of work");
     list->callback([&options, &code] {
-        code = show(options, get(options.connection, "/operator/v1/configuration"), "classes", { "name", "work", "service", "idempotent", "first_token_ms", "between_tokens_ms", "answer_ms" });
+        code = printAnswer(options, get(options.connection, "/operator/v1/configuration"), "classes", { "name", "work", "service", "idempotent", "first_token_ms", "between_tokens_ms", "answer_ms" });
     });
 }
 
@@ -126,12 +138,12 @@
     CLI::App* group = app.add_subcommand("account", "Client accounts");
     group->require_subcommand(1);
     CLI::App* create = group->add_subcommand("create", "Create a client account, or give it a new key");
-    addMember<std::string>(*create, "name", options.body, "name", "Name of the account", true);
-    addMember<int64_t>(*create, "--share", options.body, "share", "Weight when capacity is short");
+    addBodyOption<std::string>(*create, "name", options.body, "name", "Name of the account", true);
+    addBodyOption<int64_t>(*create, "--share", options.body, "share", "Weight of the account when capacity is short");
     addChangeOptions(*create, options);
     create->callback([&options, &code] { code = createAccount(options); });
     CLI::App* list = group->add_subcommand("list", "Show the client accounts");
-    list->callback([&options, &code] { code = show(options, get(options.connection, "/operator/v1/configuration"), "accounts", { "name", "share" }); });
+    list->callback([&options, &code] { code = printAnswer(options, get(options.connection, "/operator/v1/configuration"), "accounts", { "name", "share" }); });
 }
 
 void addVersionCommands(CLI::App& app, command_options& options, int& code)
@@ -139,38 +151,39 @@
     CLI::App* group = app.add_subcommand("version", "Versions of endpoints");
     group->require_subcommand(1);
     CLI::App* create = group->add_subcommand("create", "Create a version of a service's endpoints");
-    addMember<std::string>(*create, "service", options.body, "service", "Model or service", true);
-    addMember<std::string>(*create, "name", options.body, "name", "Name of the version", true);
-    addMember<std::string>(*create, "--state", options.body, "state", "current, taking_over or taken_back");
+    addBodyOption<std::string>(*create, "service", options.body, "service", "Model or service", true);
+    addBodyOption<std::string>(*create, "name", options.body, "name", "Name of the version", true);
+    addBodyOption<std::string>(*create, "--state", options.body, "state", "current, taking_over or taken_back");
     create->add_option("--deadline-s", options.deadlineSeconds, "Seconds until it must have taken over");
     addChangeOptions(*create, options);
     create->callback([&options, &code] {
-        options.body["started_at_ms"] = wallMilliseconds();
+        options.body["started_at_ms"] = unixMilliseconds();
         if (options.deadlineSeconds > 0)
-            options.body["deadline_ms"] = wallMilliseconds() + options.deadlineSeconds * millisecondsPerSecond;
-        code = propose(options, "version", false);
+            options.body["deadline_ms"] = unixMilliseconds() + options.deadlineSeconds * millisecondsPerSecond;
+        code = submitChange(options, "version", false);
     });
     CLI::App* list = group->add_subcommand("list", "Show the versions");
     list->callback([&options, &code] {
-        code = show(options, get(options.connection, "/operator/v1/configuration"), "versions", { "service", "name", "state", "deadline_ms", "cause" });
+        code = printAnswer(options, get(options.connection, "/operator/v1/configuration"), "versions", { "service", "name", "state", "deadline_ms", "cause" });
     });
 }
 
-/// Prints a line whenever the state changes or some seconds have passed, until the rollout has ended.
+/// Polls a rollout until it has ended; prints a progress line every `pollsPerLine` polls, and the outcome.
+/// @return the program's exit code: exitOk when the version took over, exitRefused when it was taken back or doesn't exist.
 int watchRollout(const command_options& options, const std::string& service, const std::string& version)
 {
     constexpr std::chrono::seconds pollInterval { 1 };
-    constexpr int linesEvery = 10;
+    constexpr int pollsPerLine = 10;
     for (int polls = 0;; ++polls) {
         const auto answer = get(options.connection, "/operator/v1/configuration");
         if (!answer)
             return printFailure(answer.error());
         const auto& versions = answer->at("versions");
-        const auto found = std::find_if(versions.begin(), versions.end(), [&](const ordered_json& item) {
-            return item.at("service") == service && item.at("name") == version;
+        const auto found = std::find_if(versions.begin(), versions.end(), [&](const ordered_json& entry) {
+            return entry.at("service") == service && entry.at("name") == version;
         });
         if (found == versions.end()) {
-            std::cerr << "filbertreel: no version " << version << " of " << service << "\n";
+            std::cerr << "filbertreel: no version " << version << " of service " << service << "\n";
             return Filbertreel::exitRefused;
         }
         const bool hasEnded = found->at("state") != "taking_over";
@@ -180,9 +193,9 @@
             std::cout << service << " " << version << ": " << found->at("state").get<std::string>() << ", " << found->at("cause").get<std::string>() << "\n";
         if (hasEnded)
             return found->at("state") == "current" ? Filbertreel::exitOk : Filbertreel::exitRefused;
-        const int64_t left = (found->at("deadline_ms").get<int64_t>() - wallMilliseconds()) / millisecondsPerSecond;
-        if (polls % linesEvery == 0)
-            std::cerr << service << " " << version << ": taking over, " << left << " s to the deadline\n";
+        const int64_t secondsLeft = (found->at("deadline_ms").get<int64_t>() - unixMilliseconds()) / millisecondsPerSecond;
+        if (polls % pollsPerLine == 0)
+            std::cerr << service << " " << version << ": taking over, " << secondsLeft << " s to the deadline\n";
         std::this_thread::sleep_for(pollInterval);
     }
 }
@@ -190,9 +203,9 @@
 int startRollout(command_options& options, const std::string& state)
 {
     options.body["state"] = state;
-    options.body["started_at_ms"] = wallMilliseconds();
-    options.body["deadline_ms"] = wallMilliseconds() + options.deadlineSeconds * millisecondsPerSecond;
-    return propose(options, "version", false);
+    options.body["started_at_ms"] = unixMilliseconds();
+    options.body["deadline_ms"] = unixMilliseconds() + options.deadlineSeconds * millisecondsPerSecond;
+    return submitChange(options, "version", false);
 }
 
 void addRolloutCommands(CLI::App& app, command_options& options, int& code)
@@ -200,47 +213,47 @@
     CLI::App* group = app.add_subcommand("rollout", "Start, watch and take back a new version");
     group->require_subcommand(1);
     const auto add = [&](const std::string& name, const std::string& help) {
-        CLI::App* verb = group->add_subcommand(name, help);
-        addMember<std::string>(*verb, "service", options.body, "service", "Model or service", true);
-        addMember<std::string>(*verb, "version", options.body, "name", "Name of the version", true);
-        addChangeOptions(*verb, options);
-        return verb;
+        CLI::App* subcommand = group->add_subcommand(name, help);
+        addBodyOption<std::string>(*subcommand, "service", options.body, "service", "Model or service", true);
+        addBodyOption<std::string>(*subcommand, "version", options.body, "name", "Name of the version", true);
+        addChangeOptions(*subcommand, options);
+        return subcommand;
     };
-    CLI::App* start = add("start", "Let a version take over by its deadline, or be taken back");
+    CLI::App* start = add("start", "Start the rollout of a version; it is taken back if it has not taken over by the deadline");
     start->add_option("--deadline-s", options.deadlineSeconds, "Seconds until it must have taken over")->required();
     start->callback([&options, &code] { code = startRollout(options, "taking_over"); });
-    CLI::App* watch = add("watch", "Wait for the end; exit code 0 when it took over, 1 when it was taken back");
+    CLI::App* watch = add("watch", "Wait until the rollout ends; exit code 0 when the version took over, 1 when it was taken back");
     watch->callback([&options, &code] { code = watchRollout(options, options.body["service"], options.body["name"]); });
-    CLI::App* takeBack = add("take-back", "Withdraw a version at once");
+    CLI::App* takeBack = add("take-back", "Take a version back at once");
     takeBack->callback([&options, &code] { code = startRollout(options, "taken_back"); });
 }
 
 void addQueries(CLI::App& app, command_options& options, int& code)
 {
-    CLI::App* status = app.add_subcommand("status", "What a node knows of itself, its peers and the endpoints");
+    CLI::App* status = app.add_subcommand("status", "Status of a node, and the peers and endpoints it knows");
     status->callback([&options, &code] { code = showStatus(options); });
     CLI::App* audit = app.add_subcommand("audit", "The audit trail of changes");
     audit->add_option("--after", options.afterVersion, "Only changes after this version");
     audit->callback([&options, &code] {
-        code = show(options, get(options.connection, "/operator/v1/audit?after=" + std::to_string(options.afterVersion)), "records", { "version", "made_at_ms", "actor", "kind", "cause", "body" });
+        code = printAnswer(options, get(options.connection, "/operator/v1/audit?after=" + std::to_string(options.afterVersion)), "records", { "version", "made_at_ms", "actor", "kind", "cause", "body" });
     });
     CLI::App* explain = app.add_subcommand("explain", "What happened to a request and why");
     explain->require_subcommand(1);
-    CLI::App* request = explain->add_subcommand("request", "One request, asked at the node that served it");
+    CLI::App* request = explain->add_subcommand("request", "Events of one request, from the node that served it");
     request->add_option("id", options.requestId, "The request's id")->required();
     request->callback([&options, &code] {
-        code = show(options, get(options.connection, "/operator/v1/explain?request=" + options.requestId), "events", { "at_ms", "event", "endpoint", "zone", "predicted_first_token_s", "predicted_cost_micro", "cause", "seconds", "tokens" });
+        code = printAnswer(options, get(options.connection, "/operator/v1/explain?request=" + options.requestId), "events", { "at_ms", "event", "endpoint", "zone", "predicted_first_token_s", "predicted_cost_micro", "cause", "seconds", "tokens" });
     });
 }
 
-/// Explains a request from the nodes' logs; unlike all other commands it needs no node.
+/// Explains a request from the nodes' logs. Parsed apart from the other commands, because it needs no node's URL.
 int runExplainLog(int argc, char** argv)
 {
     std::string request;
     std::vector<std::string> paths { "-" };
-    CLI::App app { "What the logs of the nodes say of one request, and of what its node believed then" };
+    CLI::App app { "Prints the log lines of one request, and of state changes of its nodes and endpoints around that time" };
     app.add_option("--request", request, "The request's id")->required();
-    app.add_option("files", paths, "Logs of the nodes; - is the standard input");
+    app.add_option("files", paths, "Log files of the nodes; - is the standard input");
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
@@ -257,12 +270,12 @@
         return runExplainLog(argc - 1, argv + 1);
     command_options options;
     int code = Filbertreel::exitOk;
-    CLI::App app { "filbertreel: the operators' command. Exit codes: 0 done, 1 refused, 2 bad usage, 3 no node reached, 4 outcome unknown." };
+    CLI::App app { "filbertreel: the operators' command line tool. Exit codes: 0 done, 1 refused, 2 bad usage, 3 no node reached, 4 outcome unknown." };
     app.require_subcommand(1);
     app.fallthrough();
     app.add_option("--url", options.connection.nodes, "URL of an entry node; may be repeated")->envname("FILBERTREEL_URL")->delimiter(',')->required();
     app.add_option("--operator-key", options.connection.operatorKey, "The operators' key")->envname("FILBERTREEL_OPERATOR_KEY");
-    app.add_flag("--json", options.isJson, "JSON for scripts");
+    app.add_flag("--json", options.isJson, "Print JSON instead of tables");
     addClassCommands(app, options, code);
     addAccountCommands(app, options, code);
     addVersionCommands(app, options, code);
--- a/Source/Filbertreel/Print.cpp
+++ b/Source/Filbertreel/Print.cpp
@@ -20,9 +20,9 @@
 
     void printRow(const std::vector<std::string>& cells, const std::vector<size_t>& widths)
     {
-        constexpr size_t gap = 2;
+        constexpr size_t columnGap = 2;
         for (size_t index = 0; index < cells.size(); ++index)
-            std::cout << std::left << std::setw(static_cast<int>(widths[index] + gap)) << cells[index];
+            std::cout << std::left << std::setw(static_cast<int>(widths[index] + columnGap)) << cells[index];
         std::cout << "\n";
     }
 
@@ -50,11 +50,11 @@
 int printFailure(const command_failure& failure)
 {
     switch (failure.kind) {
-    case command_failure_kind::NoNodeAnswers:
+    case command_failure_kind::NoNodeReached:
         std::cerr << "filbertreel: no node could be reached; nothing was sent\n";
         return exitUnreachable;
     case command_failure_kind::Unreadable:
-        std::cerr << "filbertreel: the answer was lost; whether the change was accepted is not known: see 'filbertreel audit'\n";
+        std::cerr << "filbertreel: the answer was lost or could not be read; whether the change was accepted is not known: see 'filbertreel audit'\n";
         return exitOutcomeUnknown;
     case command_failure_kind::Refused:
         std::cerr << "filbertreel: refused (" << failure.status << "): " << failure.body.dump() << "\n";
--- a/Source/Filbertreel/Tests/ExplainLogTest.cpp
+++ b/Source/Filbertreel/Tests/ExplainLogTest.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// From a request's id to the lines that explain it.
+/// Selection of the log lines that explain a request, and parsing of log lines.
 
 #include "Filbertreel/ExplainLog.h"
 
@@ -22,7 +22,7 @@
 
 TEST_GROUP(ExplainLog) {};
 
-TEST(ExplainLog, LinesOfTheRequestItsNodeAndItsEndpointsAreShownByTime)
+TEST(ExplainLog, LinesOfTheRequestItsNodeAndItsEndpointsAreSelectedInOrderOfTime)
 {
     const auto lines = parseAll({
         R"(  17.4 n1 {"event":"request_ended","node":"n1","time_ms":9000,"request":"r1","endpoint":"e2","outcome":"broken"})",
@@ -43,7 +43,7 @@
     CHECK(selectLines(lines, "unknown").empty());
 }
 
-TEST(ExplainLog, WhatIsNoLineIsPassedOver)
+TEST(ExplainLog, TextWithoutAnEventIsIgnored)
 {
     for (const char* text : { "", "plain text", "{broken", "{}", "[1]" })
         CHECK(parseLogLine(text).event.empty());
