--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Speed: what a node adds to the first token at 200 requests a second against the engine reached directly, processor time
-# per relayed token, memory idle and per stream; then the decisions' benchmarks. Takes about two minutes.
+# Benchmarks of a node: the time it adds to the first token at 200 requests a second, compared with calling the engine
+# directly; CPU time per relayed token; memory when idle and per stream. Then the microbenchmarks of the decision code.
+# Takes about two minutes.
 set -eu
 cd "$(dirname "$0")/.."
 scripts/build.sh >/dev/null
--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Slopes for docs/CAPACITY.md: idle nodes in growing numbers on loopback, engines in growing numbers, and the decisions.
-# Prints one JSON line a cluster, one a slope, and the benchmarks' table. Takes about five minutes.
+# Measures for docs/CAPACITY.md how the cost of idle nodes grows with the number of nodes and of engines, on loopback,
+# and runs the microbenchmarks of the decision code. Prints one JSON line per cluster, one per fitted slope, and the
+# table of the benchmarks. Takes about five minutes.
 set -eu
 cd "$(dirname "$0")/.."
 scripts/build.sh >/dev/null
--- a/scripts/check-style.sh
+++ b/scripts/check-style.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Format and lint of all files of ours; generated code is left out.
+# Checks formatting and runs the linter on all source files except generated code, and checks that the committed
+# generated code matches its .proto file.
 set -eu
 cd "$(dirname "$0")/.."
 files=$(git ls-files '*.cpp' '*.h' | grep -v '\.pb\.')
@@ -12,7 +13,7 @@
 cmp "$generated/peer.pb.h" Source/Core/Protocol/peer.pb.h
 cmp "$generated/peer.pb.cc" Source/Core/Protocol/peer.pb.cc
 rm -r "$generated"
-# Names of the platform's wire stay in platform/: everything else speaks of the product's own types.
+# Names of the platform's wire format may occur only in platform/, which decodes them into the product's own types.
 if git grep -nE 'X-Filbertreel-|/v1/(rows|blob|kv|hold|report|resolve|readyz)|Kv-(From|Fetch)|apiKeys|trafficSplit|coldRemainingMs' -- 'Source/*.cpp' 'Source/*.h'; then
   echo "names of the platform's wire outside platform/" >&2
   exit 1
--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -1,5 +1,5 @@
-# Starts stand-ins and nodes on loopback as processes of this shell and ends them by their ids. Sourced by other scripts.
-# Callers set: bin (the build folder), logs (a folder for output), base_port.
+# Functions that start stand-ins and nodes on loopback as child processes and stop them by process id. To be sourced.
+# The sourcing script sets: bin (the build folder), logs (a folder for the output of the processes) and base_port.
 
 pids=()
 operator_key="demo-operator-key"
@@ -42,7 +42,7 @@
   wait_for "http://127.0.0.1:$(cloud_port)/control"
 }
 
-# Puts an instance on the cloud's list: id role service version address zone region price slots
+# Adds a running instance to the list of the cloud stand-in: id role service version address zone region price slots
 list_instance() {
   curl -fs -o /dev/null --max-time 2 "http://127.0.0.1:$(cloud_port)/control" -d "{\"set\":[{\"id\":\"$1\",\"role\":\"$2\",\"service\":\"$3\",
     \"version\":\"$4\",\"address\":\"$5\",\"zone\":\"$6\",\"region\":\"$7\",\"price_per_hour_micro\":$8,\"slots\":$9,\"state\":\"running\"}]}"
@@ -77,7 +77,7 @@
   FILBERTREEL_URL="http://$(node_http 1)" FILBERTREEL_OPERATOR_KEY=$operator_key "$bin/Source/Filbertreel/filbertreel" "$@"
 }
 
-# The classes of work of the demonstration, and an account; prints the account's key.
+# Creates the classes of work of the demonstration and a client account; prints the account's key.
 configure_classes() {
   operator class set inspection-summary --work model --service summary-model --first-token-ms 810 --between-tokens-ms 53 --cause "first class" >/dev/null
   operator class set quote-draft --work model --service summary-model --first-token-ms 810 --between-tokens-ms 53 --priority 5 --cause "first class" >/dev/null
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# The main job from a fresh machine: packages, build, stand-ins, three nodes in two availability zones, then an
-# inspection summary, a quote draft and a crate release. With --stay it keeps everything up until Enter or Ctrl-C.
+# Demonstration that runs on a newly installed machine: installs packages, builds, starts stand-ins and three nodes in
+# two availability zones, then requests an inspection summary, a quote draft and a crate release. With --stay the
+# processes keep running until Enter or Ctrl-C.
 set -eu
 cd "$(dirname "$0")/.."
 scripts/build.sh >/dev/null
--- a/scripts/faults.sh
+++ b/scripts/faults.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Seeded faults against real nodes: scripts/faults.sh --seed N --seconds S [--node-kills]. One JSON line; exits 1 on a breach.
+# Injects seeded faults into a cluster of real nodes. Prints one JSON line; exits with 1 when a check is breached.
+# Usage: scripts/faults.sh --seed N --seconds S [--node-kills]
 set -eu
 cd "$(dirname "$0")/.."
 scripts/build.sh >/dev/null
--- a/scripts/fit_slopes.py
+++ b/scripts/fit_slopes.py
@@ -1,4 +1,4 @@
-"""Fits straight lines to the JSON lines of capacity-cluster and prints one JSON line a slope."""
+"""Fits a straight line to each figure in the JSON lines of capacity-cluster and prints one JSON line per slope."""
 
 import json
 import math
@@ -6,27 +6,27 @@
 
 
 def fit(xs, ys):
-    """Least squares: intercept, slope and the largest deviation from the line."""
+    """Least-squares line: returns the intercept, the slope and the largest absolute deviation of a point."""
     n = len(xs)
     mean_x = sum(xs) / n
     mean_y = sum(ys) / n
-    spread = sum((x - mean_x) ** 2 for x in xs)
-    slope = sum((x - mean_x) * (y - mean_y) for x, y in zip(xs, ys)) / spread if spread else 0.0
+    sum_of_squares = sum((x - mean_x) ** 2 for x in xs)
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in zip(xs, ys)) / sum_of_squares if sum_of_squares else 0.0
     intercept = mean_y - slope * mean_x
-    worst = max(abs(y - intercept - slope * x) for x, y in zip(xs, ys))
-    return intercept, slope, worst
+    max_deviation = max(abs(y - intercept - slope * x) for x, y in zip(xs, ys))
+    return intercept, slope, max_deviation
 
 
-def print_slopes(rows, term, transform, at):
+def print_slopes(rows, term, transform, target_x):
     for name in rows[0]:
         if name in ("nodes", "engines", "members_known_least"):
             continue
         xs = [transform(row) for row in rows]
         ys = [row[name] for row in rows]
-        intercept, slope, worst = fit(xs, ys)
+        intercept, slope, max_deviation = fit(xs, ys)
         print(json.dumps({
             "slope": name, "term": term, "intercept": round(intercept, 3), "per_unit": round(slope, 4),
-            "largest_deviation": round(worst, 3), "at_letter_size": round(intercept + slope * at, 3),
+            "largest_deviation": round(max_deviation, 3), "at_letter_size": round(intercept + slope * target_x, 3),
         }))
 
 
--- a/scripts/generate.sh
+++ b/scripts/generate.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Generates the protobuf code that is committed. Needs protobuf-compiler; the build does not.
+# Regenerates the committed protobuf code. Needs protobuf-compiler, which the build itself does not need.
 set -eu
 cd "$(dirname "$0")/../Source/Core/Protocol"
 protoc --cpp_out=. peer.proto
--- a/scripts/install.sh
+++ b/scripts/install.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what the build, the tests and the demonstration need. Does nothing when all of it is there.
+# Installs the packages that the build, the tests and the demonstration need. Does nothing when all are installed.
 set -eu
 packages="python3 g++ cmake ninja-build clang-format clang-tidy curl ca-certificates librestinio-dev libasio-dev libzmq3-dev
   cppzmq-dev libprotobuf-dev protobuf-compiler libboost-dev libcli11-dev liblog4cplus-dev libexpected-dev libcpputest-dev
--- a/scripts/measure.sh
+++ b/scripts/measure.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Measures of the decisions on a virtual clock: scripts/measure.sh --profile authority|guild --seed N [--policy NAME].
-# One JSON line, the same for the same seed. scripts/measure.sh --report runs all policies over 20 seeds.
+# Simulates the routing decisions on a virtual clock and prints one JSON line, which is the same for the same seed.
+# Usage: scripts/measure.sh --profile authority|guild --seed N [--policy NAME]
+#        scripts/measure.sh --report    (all policies, 20 seeds each, as a table)
 set -eu
 cd "$(dirname "$0")/.."
 scripts/build.sh >/dev/null
--- a/scripts/mutations.py
+++ b/scripts/mutations.py
@@ -1,8 +1,8 @@
-"""Switches one mechanism off at a time in a scratch copy and shows that the proofs notice it.
+"""Mutation test: disables one mechanism at a time in a scratch copy and checks that a test fails.
 
-Each row: what is switched off, the file, the text that is replaced, its replacement, and the test that must fail.
-An argument restricts the rows to names that contain it. Prints one line a row and exits with 1 when a proof did not notice. Run it when the tests are green; takes about ten
-minutes.
+Each row: the disabled mechanism, the file, the text that is replaced, its replacement, and the test that must fail.
+An argument restricts the rows to names that contain it. Prints one line per row and exits with 1 when a test did not
+detect its mutation or the replaced text is no longer in the file. Run it when all tests pass; takes about ten minutes.
 """
 
 import os
--- a/scripts/report_measures.py
+++ b/scripts/report_measures.py
@@ -1,4 +1,7 @@
-"""Median and worst of the measures of each profile and policy, from JSON lines on standard input."""
+"""Prints a Markdown table with the median and the worst value of the measures for each profile and policy.
+
+Reads JSON lines of the measure program from standard input.
+"""
 
 import json
 import statistics
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Plays the fault soak with a range of seeds and prints each run's line and a sum. Logs of runs with a breach are kept.
+# Runs the fault soak test with a range of seeds; prints the line of each run and a summary. Keeps the logs of runs with
+# a breach.
 # Usage: scripts/soak.sh FIRST_SEED LAST_SEED RUNS_AT_ONCE [options of fault-soak]
 set -eu
 cd "$(dirname "$0")/.."
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs, builds and passes the tests. Tests listed in KNOWN-RED.txt are run and printed apart.
+# Installs packages, builds, and runs the tests. Tests listed in KNOWN-RED.txt run separately and may fail.
 set -eu
 cd "$(dirname "$0")/.."
 scripts/build.sh
