--- a/Benchmarks/CapacityCluster.cpp
+++ b/Benchmarks/CapacityCluster.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Runs growing numbers of idle nodes on loopback and reads from their own counters what control costs each:
-/// processor time, memory and bytes to peers, to the cloud, to engines and to the table service.
+/// Runs clusters of idle nodes on loopback and reads the cost of control traffic per node from the nodes' own metrics:
+/// CPU time, memory, and bytes to peers, to the cloud, to engines and to the table service.
 
 #include "Harness/Callers.h"
 
@@ -63,19 +63,20 @@
     return std::accumulate(values.begin(), values.end(), 0.0) / static_cast<double>(values.size());
 }
 
-/// How long a change takes until every node shows it.
+/// Measures how long a configuration change takes to reach all nodes.
+/// @return seconds, or -1 when a node did not have it within the time limit.
 double measureChange(const cluster& target)
 {
     const int64_t version = target.configurationVersion(1) + 1;
-    const auto begun = std::chrono::steady_clock::now();
+    const auto startedAt = std::chrono::steady_clock::now();
     target.propose(1, { { "kind", "class" }, { "body", { { "name", "probe" }, { "service", "m" } } } });
-    constexpr int longest = 60000;
-    const bool isEverywhere = target.waitForVersion(version, longest);
-    const double seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - begun).count();
+    constexpr int timeLimitMs = 60000;
+    const bool isEverywhere = target.waitForVersion(version, timeLimitMs);
+    const double seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - startedAt).count();
     return isEverywhere ? seconds : -1;
 }
 
-void measure(int nodes, int engines, int seconds)
+void measureCluster(int nodes, int engines, int seconds)
 {
     cluster_settings settings;
     settings.basePort = 28000;
@@ -88,12 +89,12 @@
     std::vector<node_sample> before;
     for (int number = 1; number <= nodes; ++number)
         before.push_back(sampleNode(target, number));
-    const auto begun = std::chrono::steady_clock::now();
+    const auto startedAt = std::chrono::steady_clock::now();
     std::this_thread::sleep_for(std::chrono::seconds(seconds));
     std::vector<node_sample> after;
     for (int number = 1; number <= nodes; ++number)
         after.push_back(sampleNode(target, number));
-    const double elapsed = std::chrono::duration<double>(std::chrono::steady_clock::now() - begun).count();
+    const double elapsed = std::chrono::duration<double>(std::chrono::steady_clock::now() - startedAt).count();
     const auto rate = [&](double node_sample::*member) {
         std::vector<double> rates;
         for (int index = 0; index < nodes; ++index)
@@ -124,7 +125,8 @@
     std::cout << line.dump() << std::endl;
 }
 
-/// What the table service counts for a hundred requests of each kind.
+/// Prints the reads and writes that the table service counts per request, for each kind of request. The reads of idle
+/// nodes in the same time are subtracted.
 void measureStoreCost()
 {
     constexpr int count = 100;
@@ -135,12 +137,12 @@
     const auto counters = [&target] { return target.control(target.tableUrl(), nlohmann::json::object()); };
     const auto measureKind = [&](const std::string& kind, const std::function<void(int)>& request) {
         const auto before = counters();
-        const auto begun = std::chrono::steady_clock::now();
+        const auto startedAt = std::chrono::steady_clock::now();
         for (int index = 0; index < count; ++index)
             request(index);
         std::this_thread::sleep_for(std::chrono::milliseconds(200));
         const auto after = counters();
-        const double idleReads = 0.2 * settings.nodes * std::chrono::duration<double>(std::chrono::steady_clock::now() - begun).count();
+        const double idleReads = 0.2 * settings.nodes * std::chrono::duration<double>(std::chrono::steady_clock::now() - startedAt).count();
         const double writes = after["writes"].get<double>() - before["writes"].get<double>();
         const double reads = after["reads"].get<double>() - before["reads"].get<double>();
         std::cout << nlohmann::ordered_json { { "kind", kind }, { "writes_each", writes / count }, { "reads_each", (reads - idleReads) / count } }.dump() << std::endl;
@@ -160,6 +162,6 @@
     const int seconds = argc > 1 ? std::atoi(argv[1]) : 15;
     measureStoreCost();
     for (int index = 2; index + 1 < argc; index += 2)
-        measure(std::atoi(argv[index]), std::atoi(argv[index + 1]), seconds);
+        measureCluster(std::atoi(argv[index]), std::atoi(argv[index + 1]), seconds);
     return 0;
 }
--- a/Benchmarks/DecisionBenchmarks.cpp
+++ b/Benchmarks/DecisionBenchmarks.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Processor time and memory of the decisions, over growing numbers of endpoints, members, requests and accounts.
+/// CPU time and memory of the decision code for growing numbers of endpoints, members, requests and accounts.
 
 #include "Configuration/VersionChain.h"
 #include "Dispatch/Dispatcher.h"
@@ -60,7 +60,7 @@
     return work;
 }
 
-/// One decision over the node's subset while `known` endpoints are known.
+/// One routing decision over the node's subset of endpoints, out of `known` endpoints.
 void routeOverSubset(benchmark::State& state)
 {
     const auto known = static_cast<size_t>(state.range(0));
@@ -78,7 +78,7 @@
 }
 BENCHMARK(routeOverSubset)->Arg(12)->Arg(200)->Arg(1500)->Arg(12000);
 
-/// One decision without a subset, for comparison.
+/// One routing decision over all endpoints, for comparison with routeOverSubset.
 void routeOverAll(benchmark::State& state)
 {
     Routing::router_state router;
@@ -133,7 +133,7 @@
     return members;
 }
 
-/// The probes of one interval, and the answers to as many of others.
+/// The probes that a node sends in one interval, and its answers to as many probes of others.
 void probeRound(benchmark::State& state)
 {
     Membership::membership_state members = makeMembers(static_cast<size_t>(state.range(0)));
@@ -156,7 +156,7 @@
 }
 BENCHMARK(probeRound)->Arg(7)->Arg(50)->Arg(150)->Arg(400);
 
-/// One change of a member: merge, new links, facts to pass on.
+/// One change of a member: merging it, choosing links, and passing the change on.
 void memberChange(benchmark::State& state)
 {
     Membership::membership_state members = makeMembers(static_cast<size_t>(state.range(0)));
@@ -191,7 +191,7 @@
     return item;
 }
 
-/// One change of the configuration that a peer tells, with that many accounts in force.
+/// One configuration change received from a peer, applied to a configuration with the given number of accounts.
 void configurationChange(benchmark::State& state)
 {
     const auto accounts = static_cast<size_t>(state.range(0));
--- a/Benchmarks/EventQueue.h
+++ b/Benchmarks/EventQueue.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// A virtual clock with tasks in order of time, and of their scheduling within one time.
+/// Event queue of the simulation: a virtual clock and tasks that run in order of time; tasks of the same time run in
+/// the order in which they were scheduled.
 
 #include <cstdint>
 #include <functional>
@@ -13,13 +14,16 @@
 
 class event_queue {
 public:
-    /// Schedules a task at a time in seconds.
+    /// Schedules a task.
+    /// @param time virtual time at which it runs, in seconds.
+    /// @param run the task.
     void at(double time, std::function<void()> run)
     {
-        m_events.push({ time, ++m_order, std::move(run) });
+        m_events.push({ time, ++m_scheduledCount, std::move(run) });
     }
 
-    /// Runs all tasks up to a time.
+    /// Runs the tasks up to and including a time, also those that are scheduled meanwhile.
+    /// @param end virtual time in seconds.
     void runUntil(double end)
     {
         while (!m_events.empty() && m_events.top().at <= end) {
@@ -30,7 +34,7 @@
         }
     }
 
-    /// @return the virtual time in seconds.
+    /// @return the current virtual time in seconds.
     double now() const { return m_now; }
 
 private:
@@ -46,7 +50,7 @@
     };
 
     std::priority_queue<timed_event> m_events;
-    uint64_t m_order { 0 };
+    uint64_t m_scheduledCount { 0 };
     double m_now { 0 };
 };
 
--- a/Benchmarks/FakeEngines.cpp
+++ b/Benchmarks/FakeEngines.cpp
@@ -10,8 +10,8 @@
     constexpr double prefillSeconds = 0.18;
     constexpr double cachedPrefillSeconds = 0.05;
     constexpr double tokenSeconds = 0.020;
-    constexpr double batchSlowdown = 0.5; ///< A full batch decodes this much slower.
-    constexpr double groupSeconds = 0.5; ///< Tokens come in groups, often enough for the node's stall detection.
+    constexpr double batchSlowdown = 0.5; ///< Relative increase of the time per token with a full batch.
+    constexpr double tokenGroupInterval = 0.5; ///< Tokens are sent in groups, often enough for the node's stall detection.
     constexpr size_t prefixCacheEntries = 24;
     constexpr double crossRegionSeconds = 0.030;
     constexpr double sameRegionSeconds = 0.001;
@@ -45,7 +45,7 @@
         return attempt;
     }
 
-    Dispatch::attempt_ended cut(Common::attempt_number number)
+    Dispatch::attempt_ended makeCutEnd(Common::attempt_number number)
     {
         return { number, Http::transfer_end::Cut, statusOk, {}, {} };
     }
@@ -69,14 +69,14 @@
     return *std::find_if(m_engines.begin(), m_engines.end(), [&id](const fake_engine& engine) { return engine.info.id == id; });
 }
 
-double fake_engines::link(size_t node, const fake_engine& engine) const
+double fake_engines::networkDelay(size_t node, const fake_engine& engine) const
 {
     return engine.info.region.value == m_nodeRegions[node] ? sameRegionSeconds : crossRegionSeconds;
 }
 
 void fake_engines::deliverLater(const fake_engine& engine, size_t node, Dispatch::dispatch_message message)
 {
-    m_events.at(m_events.now() + link(node, engine), [this, node, message = std::move(message)]() mutable { m_deliver(node, std::move(message)); });
+    m_events.at(m_events.now() + networkDelay(node, engine), [this, node, message = std::move(message)]() mutable { m_deliver(node, std::move(message)); });
 }
 
 void fake_engines::start(size_t node, const Dispatch::start_attempt& action)
@@ -86,13 +86,13 @@
         deliverLater(engine, node, Dispatch::attempt_ended { action.attempt, Http::transfer_end::NotSent, 0, {}, {} });
         return;
     }
-    m_events.at(m_events.now() + link(node, engine), [this, &engine, attempt = readAttempt(node, action)] {
+    m_events.at(m_events.now() + networkDelay(node, engine), [this, &engine, attempt = readAttempt(node, action)] {
         engine.waiting.push_back(attempt);
-        serve(engine);
+        startWaiting(engine);
     });
 }
 
-bool fake_engines::touchPrefix(fake_engine& engine, uint32_t prefix)
+bool fake_engines::usePrefix(fake_engine& engine, uint32_t prefix)
 {
     const auto found = std::find(engine.prefixes.begin(), engine.prefixes.end(), prefix);
     const bool isCached = found != engine.prefixes.end();
@@ -104,12 +104,12 @@
     return isCached;
 }
 
-void fake_engines::serve(fake_engine& engine)
+void fake_engines::startWaiting(fake_engine& engine)
 {
     while (engine.isRunning && !engine.waiting.empty() && engine.running.size() < engineSlots) {
         fake_attempt attempt = engine.waiting.front();
         engine.waiting.pop_front();
-        const bool isCached = touchPrefix(engine, attempt.prefix);
+        const bool isCached = usePrefix(engine, attempt.prefix);
         (isCached ? m_totals.promptsCached : m_totals.promptsComputed) += 1;
         const double load = static_cast<double>(engine.running.size()) / engineSlots;
         attempt.beganAt = m_events.now();
@@ -118,52 +118,52 @@
         const attempt_key key { attempt.node, attempt.number.value };
         engine.running[key] = attempt;
         const double prefilledAt = m_events.now() + attempt.prefill;
-        m_events.at(prefilledAt, [this, &engine, key] { giveFirstToken(engine, key); });
+        m_events.at(prefilledAt, [this, &engine, key] { sendFirstToken(engine, key); });
         m_events.at(prefilledAt + attempt.interval * attempt.tokens, [this, &engine, key] { finish(engine, key); });
     }
 }
 
-void fake_engines::giveTokens(fake_engine& engine, fake_attempt& attempt, int due)
+void fake_engines::sendTokens(fake_engine& engine, fake_attempt& attempt, int dueTokens)
 {
-    const int fresh = std::min(due, attempt.tokens) - attempt.given;
-    if (fresh <= 0)
+    const int newTokens = std::min(dueTokens, attempt.tokens) - attempt.sentTokens;
+    if (newTokens <= 0)
         return;
-    attempt.given += fresh;
-    deliverLater(engine, attempt.node, Dispatch::attempt_tokens { attempt.number, std::vector<std::string>(static_cast<size_t>(fresh), "t ") });
+    attempt.sentTokens += newTokens;
+    deliverLater(engine, attempt.node, Dispatch::attempt_tokens { attempt.number, std::vector<std::string>(static_cast<size_t>(newTokens), "t ") });
 }
 
-void fake_engines::giveDueTokens(fake_engine& engine, fake_attempt& attempt)
+void fake_engines::sendDueTokens(fake_engine& engine, fake_attempt& attempt)
 {
-    const double decoding = m_events.now() - attempt.beganAt - attempt.prefill;
-    giveTokens(engine, attempt, static_cast<int>(decoding / attempt.interval));
+    const double decodeSeconds = m_events.now() - attempt.beganAt - attempt.prefill;
+    sendTokens(engine, attempt, static_cast<int>(decodeSeconds / attempt.interval));
 }
 
-void fake_engines::giveFirstToken(fake_engine& engine, const attempt_key& key)
+void fake_engines::sendFirstToken(fake_engine& engine, const attempt_key& key)
 {
     const auto found = engine.running.find(key);
     if (found == engine.running.end())
         return;
-    giveTokens(engine, found->second, 1);
-    scheduleMore(engine, key);
+    sendTokens(engine, found->second, 1);
+    scheduleNextTokens(engine, key);
 }
 
-void fake_engines::scheduleMore(fake_engine& engine, const attempt_key& key)
+void fake_engines::scheduleNextTokens(fake_engine& engine, const attempt_key& key)
 {
-    m_events.at(m_events.now() + groupSeconds, [this, &engine, key] {
+    m_events.at(m_events.now() + tokenGroupInterval, [this, &engine, key] {
         const auto found = engine.running.find(key);
         if (found == engine.running.end())
             return;
-        giveDueTokens(engine, found->second);
-        scheduleMore(engine, key);
+        sendDueTokens(engine, found->second);
+        scheduleNextTokens(engine, key);
     });
 }
 
-void fake_engines::payFor(const fake_engine& engine, const fake_attempt& attempt)
+void fake_engines::addCost(const fake_engine& engine, const fake_attempt& attempt)
 {
-    const double held = m_events.now() - attempt.beganAt;
-    m_totals.costMicro += held * static_cast<double>(engine.info.pricePerHour.value) / secondsPerHour / engineSlots;
+    const double slotSeconds = m_events.now() - attempt.beganAt;
+    m_totals.costMicro += slotSeconds * static_cast<double>(engine.info.pricePerHour.value) / secondsPerHour / engineSlots;
     if (engine.info.region.value != m_nodeRegions[attempt.node])
-        m_totals.costMicro += attempt.given * crossRegionMicroPerToken;
+        m_totals.costMicro += attempt.sentTokens * crossRegionMicroPerToken;
 }
 
 void fake_engines::finish(fake_engine& engine, const attempt_key& key)
@@ -172,11 +172,11 @@
     if (found == engine.running.end())
         return;
     fake_attempt attempt = found->second;
-    giveTokens(engine, attempt, attempt.tokens);
-    payFor(engine, attempt);
+    sendTokens(engine, attempt, attempt.tokens);
+    addCost(engine, attempt);
     engine.running.erase(found);
     deliverLater(engine, attempt.node, Dispatch::attempt_ended { attempt.number, Http::transfer_end::Complete, statusOk, {}, "stop" });
-    serve(engine);
+    startWaiting(engine);
 }
 
 void fake_engines::cancel(size_t node, Common::attempt_number number)
@@ -186,9 +186,9 @@
         const auto found = engine.running.find({ node, number.value });
         if (found == engine.running.end())
             continue;
-        payFor(engine, found->second);
+        addCost(engine, found->second);
         engine.running.erase(found);
-        serve(engine);
+        startWaiting(engine);
     }
 }
 
@@ -196,12 +196,12 @@
 {
     engine.isRunning = false;
     for (auto& [key, attempt] : engine.running) {
-        giveDueTokens(engine, attempt);
-        payFor(engine, attempt);
-        deliverLater(engine, attempt.node, cut(attempt.number));
+        sendDueTokens(engine, attempt);
+        addCost(engine, attempt);
+        deliverLater(engine, attempt.node, makeCutEnd(attempt.number));
     }
     for (const fake_attempt& attempt : engine.waiting)
-        deliverLater(engine, attempt.node, cut(attempt.number));
+        deliverLater(engine, attempt.node, makeCutEnd(attempt.number));
     engine.running.clear();
     engine.waiting.clear();
     engine.prefixes.clear();
--- a/Benchmarks/FakeEngines.h
+++ b/Benchmarks/FakeEngines.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// Small fake engines on a virtual clock: slots, a queue, a limited prefix cache, a decode rate that falls with the batch.
+/// Simulated model engines on a virtual clock: slots, a queue, a prefix cache of limited size, and a decode rate that
+/// falls as the batch grows.
 
 #include "EventQueue.h"
 #include "Measure.h"
@@ -11,15 +12,16 @@
 
 namespace Measure {
 
+/// An attempt on an engine; times in seconds of virtual time.
 struct fake_attempt {
-    size_t node { 0 };
+    size_t node { 0 }; ///< Index of the node that sent it.
     Common::attempt_number number;
     uint32_t prefix { 0 };
-    int tokens { 0 };
+    int tokens { 0 }; ///< To generate.
     double beganAt { 0 };
-    double prefill { 0 };
-    double interval { 0 };
-    int given { 0 };
+    double prefill { 0 }; ///< Duration of the prefill.
+    double interval { 0 }; ///< Time per token while decoding.
+    int sentTokens { 0 }; ///< Tokens already sent to the node.
 };
 
 struct fake_engine {
@@ -27,10 +29,10 @@
     bool isRunning { true };
     std::map<std::pair<size_t, uint64_t>, fake_attempt> running;
     std::deque<fake_attempt> waiting;
-    std::deque<uint32_t> prefixes;
+    std::deque<uint32_t> prefixes; ///< Prefix cache, least recently used first.
 };
 
-/// What the engines did and what it cost.
+/// Cost and prefix cache use of all engines, summed.
 struct engine_totals {
     double costMicro { 0 };
     uint64_t promptsComputed { 0 };
@@ -39,27 +41,27 @@
 
 class fake_engines {
 public:
-    /// Gives a message to a node.
+    /// Delivers a message to the node with an index.
     using deliver_function = std::function<void(size_t node, Dispatch::dispatch_message&&)>;
 
-    /// @param events the clock.
-    /// @param chosen which engines there are and where the nodes stand.
-    /// @param deliver called when an engine's answer reaches a node.
+    /// @param events event queue; must outlive the engines.
+    /// @param chosen the groups of engines and the region of each node.
+    /// @param deliver called when a message of an engine reaches a node.
     fake_engines(event_queue& events, const profile& chosen, deliver_function deliver);
 
-    /// Takes an attempt from a node.
+    /// Starts an attempt of a node; it reaches the engine after the network delay.
     void start(size_t node, const Dispatch::start_attempt& action);
-    /// Ends an attempt of a node wherever it is.
+    /// Ends a node's attempt, whether it waits or runs, on whichever engine has it.
     void cancel(size_t node, Common::attempt_number number);
-    /// Reclaims the reclaimable engines of a zone at once.
+    /// Stops all reclaimable engines of a zone without notice.
     void reclaimZone(const std::string& zone);
-    /// Brings all engines back with empty caches.
+    /// Restarts the stopped engines, with empty prefix caches.
     void restoreAll();
     /// Doubles the prices of a zone and lowers the others by a quarter.
     void changePrices(const std::string& zone);
-    /// @return the engines that run, as the cloud lists them.
+    /// @return the running engines, as in the cloud's instance list.
     std::vector<Endpoints::instance_info> list() const;
-    /// @return the load of all engines now.
+    /// @return the current load of all engines.
     std::vector<Endpoints::load_report> report() const;
     const engine_totals& totals() const { return m_totals; }
 
@@ -67,22 +69,22 @@
     using attempt_key = std::pair<size_t, uint64_t>;
 
     fake_engine& find(const Common::endpoint_id& id);
-    double link(size_t node, const fake_engine& engine) const;
-    bool touchPrefix(fake_engine& engine, uint32_t prefix);
-    void serve(fake_engine& engine);
-    void giveTokens(fake_engine& engine, fake_attempt& attempt, int due);
-    void giveDueTokens(fake_engine& engine, fake_attempt& attempt);
-    void giveFirstToken(fake_engine& engine, const attempt_key& key);
-    void scheduleMore(fake_engine& engine, const attempt_key& key);
+    double networkDelay(size_t node, const fake_engine& engine) const;
+    bool usePrefix(fake_engine& engine, uint32_t prefix);
+    void startWaiting(fake_engine& engine);
+    void sendTokens(fake_engine& engine, fake_attempt& attempt, int dueTokens);
+    void sendDueTokens(fake_engine& engine, fake_attempt& attempt);
+    void sendFirstToken(fake_engine& engine, const attempt_key& key);
+    void scheduleNextTokens(fake_engine& engine, const attempt_key& key);
     void finish(fake_engine& engine, const attempt_key& key);
-    void payFor(const fake_engine& engine, const fake_attempt& attempt);
+    void addCost(const fake_engine& engine, const fake_attempt& attempt);
     void stop(fake_engine& engine);
     void deliverLater(const fake_engine& engine, size_t node, Dispatch::dispatch_message message);
 
     event_queue& m_events;
     std::vector<std::string> m_nodeRegions;
     deliver_function m_deliver;
-    std::vector<fake_engine> m_engines; ///< Never grows after construction: events hold references.
+    std::vector<fake_engine> m_engines; ///< Not resized after construction, because scheduled events hold references.
     engine_totals m_totals;
 };
 
--- a/Benchmarks/Measure.cpp
+++ b/Benchmarks/Measure.cpp
@@ -16,12 +16,12 @@
     constexpr Common::instant epoch = Common::instant {} + std::chrono::hours(1);
     constexpr uint32_t prefixGroups = 60;
     constexpr double reportInterval = 0.5;
-    constexpr double reportLag = 0.3;
-    constexpr double listLag = 2.0;
+    constexpr double reportDelay = 0.3;
+    constexpr double listDelay = 2.0;
     constexpr double tickInterval = 0.05;
     constexpr double firstTokenTarget = 0.81;
-    /// After the last arrival, for what is still in flight.
-    constexpr double tailSeconds = 60;
+    /// Simulated time after the last arrival, in which requests in flight can end.
+    constexpr double drainSeconds = 60;
 
     struct fake_caller {
         double sentAt { 0 };
@@ -43,7 +43,7 @@
             : m_profile(chosen)
             , m_options(options)
             , m_random(options.seed)
-            , m_engines(m_events, chosen, [this](size_t node, Dispatch::dispatch_message&& message) { tell(node, std::move(message)); })
+            , m_engines(m_events, chosen, [this](size_t node, Dispatch::dispatch_message&& message) { deliver(node, std::move(message)); })
         {
             addNodes();
         }
@@ -52,8 +52,8 @@
         {
             scheduleArrivals();
             scheduleTicks();
-            scheduleTroubles();
-            m_events.runUntil(m_options.seconds + tailSeconds);
+            scheduleFaults();
+            m_events.runUntil(m_options.seconds + drainSeconds);
             return finish();
         }
 
@@ -89,10 +89,10 @@
         {
             const auto list = std::make_shared<const std::vector<Endpoints::instance_info>>(m_engines.list());
             for (size_t node = 0; node < m_nodes.size(); ++node)
-                tell(node, Dispatch::endpoints_published { list, static_cast<double>(m_nodes.size()) });
+                deliver(node, Dispatch::endpoints_published { list, static_cast<double>(m_nodes.size()) });
         }
 
-        void tell(size_t node, Dispatch::dispatch_message message)
+        void deliver(size_t node, Dispatch::dispatch_message message)
         {
             for (Dispatch::dispatch_action& action : stepDispatch(m_nodes[node].state, std::move(message), clock())) {
                 if (const auto* start = std::get_if<Dispatch::start_attempt>(&action))
@@ -100,13 +100,13 @@
                 else if (const auto* cancel = std::get_if<Dispatch::cancel_attempt>(&action))
                     m_engines.cancel(node, cancel->attempt);
                 else if (const auto* tokens = std::get_if<Dispatch::send_tokens>(&action))
-                    takeTokens(node, *tokens);
+                    recordTokens(node, *tokens);
                 else if (const auto* end = std::get_if<Dispatch::send_stream_end>(&action))
-                    takeEnd(end->token, false);
+                    recordEnd(end->token, false);
                 else if (const auto* failure = std::get_if<Dispatch::send_stream_failure>(&action))
-                    takeEnd(failure->token, true);
+                    recordEnd(failure->token, true);
                 else if (const auto* refusal = std::get_if<Dispatch::send_failure>(&action))
-                    takeRefusal(refusal->token);
+                    recordRefusal(refusal->token);
             }
         }
 
@@ -114,7 +114,7 @@
 
         double arrivalRate(double time) const
         {
-            // A busy day: a slow rise and fall, and a spike of double load late in it.
+            // Load of a busy day: a slow rise and fall, and a spike of double load late in the day.
             const double share = time / m_options.seconds;
             const double shape = 0.6 + 0.5 * std::sin(share * 3.14159265);
             const bool isSpike = share > 0.70 && share < 0.75;
@@ -126,7 +126,7 @@
             double time = 0;
             while (time < m_options.seconds) {
                 time += -std::log(1 - Common::uniformUnit(m_random)) / arrivalRate(time);
-                m_events.at(time, [this] { arrive(); });
+                m_events.at(time, [this] { sendRequest(); });
             }
         }
 
@@ -141,7 +141,7 @@
             return 0;
         }
 
-        void arrive()
+        void sendRequest()
         {
             const uint64_t token = m_callers.size() + 1;
             fake_caller caller;
@@ -159,10 +159,10 @@
             request.work.service = "model";
             request.isStreamed = true;
             request.body = { { "messages", nlohmann::json::array({ { { "role", "system" }, { "content", "prefix " + std::to_string(caller.prefix) } } }) }, { "max_tokens", caller.tokens } };
-            tell(node, std::move(request));
+            deliver(node, std::move(request));
         }
 
-        void takeTokens(size_t, const Dispatch::send_tokens& action)
+        void recordTokens(size_t, const Dispatch::send_tokens& action)
         {
             fake_caller& caller = m_callers[action.token.value - 1];
             m_result.tokens += action.texts.size();
@@ -172,7 +172,7 @@
             caller.isInTarget = m_events.now() - caller.sentAt <= firstTokenTarget;
         }
 
-        void takeEnd(Common::caller_token token, bool isFailed)
+        void recordEnd(Common::caller_token token, bool isFailed)
         {
             m_result.answered += isFailed ? 0 : 1;
             m_result.failed += isFailed ? 1 : 0;
@@ -180,44 +180,44 @@
                 m_callers[token.value - 1].isInTarget = false;
         }
 
-        void takeRefusal(Common::caller_token)
+        void recordRefusal(Common::caller_token)
         {
             ++m_result.refused;
         }
 
-        // Reports, ticks and troubles
+        // Load reports, ticks, and injected faults
 
         void scheduleTicks()
         {
-            for (double time = 0; time < m_options.seconds + tailSeconds; time += tickInterval) {
+            for (double time = 0; time < m_options.seconds + drainSeconds; time += tickInterval) {
                 m_events.at(time, [this] {
                     for (size_t node = 0; node < m_nodes.size(); ++node)
-                        tell(node, Dispatch::dispatch_tick {});
+                        deliver(node, Dispatch::dispatch_tick {});
                 });
             }
-            for (double time = 0; time < m_options.seconds + tailSeconds; time += reportInterval)
+            for (double time = 0; time < m_options.seconds + drainSeconds; time += reportInterval)
                 m_events.at(time, [this] { report(); });
         }
 
         void report()
         {
             for (const Endpoints::load_report& item : m_engines.report()) {
-                m_events.at(m_events.now() + reportLag, [this, item] {
+                m_events.at(m_events.now() + reportDelay, [this, item] {
                     for (size_t node = 0; node < m_nodes.size(); ++node)
-                        tell(node, Dispatch::load_published { item });
+                        deliver(node, Dispatch::load_published { item });
                 });
             }
         }
 
-        void scheduleTroubles()
+        void scheduleFaults()
         {
             const std::string zone = m_profile.groups.front().zone;
             const double reclaim = m_options.seconds * 0.35;
-            const double comeBack = m_options.seconds * 0.50;
+            const double restore = m_options.seconds * 0.50;
             const double priceChange = m_options.seconds * 0.60;
             m_events.at(reclaim, [this, zone] { m_engines.reclaimZone(zone); });
-            m_events.at(reclaim + listLag, [this] { publishList(); });
-            m_events.at(comeBack, [this] {
+            m_events.at(reclaim + listDelay, [this] { publishList(); });
+            m_events.at(restore, [this] {
                 m_engines.restoreAll();
                 publishList();
             });
--- a/Benchmarks/MeasureMain.cpp
+++ b/Benchmarks/MeasureMain.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// scripts/measure.sh: one JSON line of measures for a profile, a seed and a policy.
+/// Program behind scripts/measure.sh: simulates one profile with one seed and policy and prints one JSON line.
 
 #include "Measure.h"
 
@@ -12,7 +12,7 @@
     std::string profileName = "guild";
     std::string policyName = "cheapest";
     Measure::measure_options options;
-    CLI::App app { "Measures of the routing decisions on a virtual clock" };
+    CLI::App app { "Simulates the routing decisions on a virtual clock" };
     app.add_option("--profile", profileName, "authority or guild")->check(CLI::IsMember({ "authority", "guild" }));
     app.add_option("--seed", options.seed);
     app.add_option("--seconds", options.seconds);
--- a/Benchmarks/RelayBenchmark.cpp
+++ b/Benchmarks/RelayBenchmark.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// What a node adds: time to the first token, and processor time per relayed token, against the engine reached directly.
+/// Overhead of a node: the time it adds to the first token, compared with calling the engine directly, and its CPU time
+/// per relayed token and memory per stream.
 
 #include "Harness/Cluster.h"
 
@@ -35,7 +36,11 @@
     return count;
 }
 
-/// Sends requests at a fixed rate whether or not the earlier ones are answered.
+/// Sends requests at a fixed rate, whether or not earlier ones have been answered (open loop).
+/// @param perSecond requests per second.
+/// @param seconds duration of the sending; answers are awaited 20 s longer.
+/// @param tokens tokens to generate per request.
+/// @return counts, and the times to the first token in ascending order.
 load_result sendOpenLoop(const std::string& url, const std::string& key, const std::string& model, int perSecond, int seconds, int tokens)
 {
     Http::client client;
@@ -44,12 +49,12 @@
     std::vector<open_request> requests(total);
     const nlohmann::json body { { "model", model }, { "stream", true }, { "max_tokens", tokens }, { "messages", nlohmann::json::array({ { { "role", "user" }, { "content", "crates" } } }) } };
     const std::string text = body.dump();
-    const auto begun = steady::now();
+    const auto startedAt = steady::now();
     int sent = 0;
     int ended = 0;
-    const auto end = begun + std::chrono::seconds(seconds + 20);
+    const auto end = startedAt + std::chrono::seconds(seconds + 20);
     while (ended < total && steady::now() < end) {
-        while (sent < total && steady::now() >= begun + std::chrono::microseconds(1000000LL * sent / perSecond)) {
+        while (sent < total && steady::now() >= startedAt + std::chrono::microseconds(1000000LL * sent / perSecond)) {
             open_request& item = requests[sent++];
             item.sentAt = steady::now();
             Http::outgoing_request request;
