--- a/Source/Core/Rollout/Rollout.cpp
+++ b/Source/Core/Rollout/Rollout.cpp
@@ -90,8 +90,8 @@
     {
         const attempt_counts fresh = sum(pooled, &comparison::fresh);
         const attempt_counts previous = sum(pooled, &comparison::previous);
-        return "new version: " + std::to_string(fresh.failed) + " failed, " + std::to_string(fresh.late) + " late of " + std::to_string(fresh.ended)
-            + " attempts; previous version: " + std::to_string(previous.failed) + " failed, " + std::to_string(previous.late) + " late of " + std::to_string(previous.ended);
+        return "new " + std::to_string(fresh.failed) + " failed, " + std::to_string(fresh.late) + " late of " + std::to_string(fresh.ended)
+            + "; old " + std::to_string(previous.failed) + " failed, " + std::to_string(previous.late) + " late of " + std::to_string(previous.ended);
     }
 
     void latch(rollout_state& state, const rollout_key& key, const std::string& cause, actions& output)
@@ -124,7 +124,7 @@
             const verdict found = evaluate(counts);
             if (found == verdict::NoFault)
                 continue;
-            latch(state, key, nameOf(found) + " on class " + work.value + ": " + describe({ { work, counts } }), output);
+            latch(state, key, nameOf(found) + " on " + work.value + ": " + describe({ { work, counts } }), output);
             return;
         }
     }
