--- a/Benchmarks/DecisionBenchmarks.cpp
+++ b/Benchmarks/DecisionBenchmarks.cpp
@@ -129,7 +129,7 @@
         item.incarnation = { 1 };
         facts.push_back(item);
     }
-    stepMembership(members, Membership::facts_heard { { "seed" }, facts }, testStart);
+    stepMembership(members, Membership::member_records_received { { "seed" }, facts }, testStart);
     return members;
 }
 
@@ -142,10 +142,10 @@
     for (auto _ : state) {
         now += 2 * members.settings.probeInterval;
         for (auto& [id, link] : members.links)
-            link.lastHeard = now;
+            link.lastReceivedAt = now;
         benchmark::DoNotOptimize(stepMembership(members, Membership::membership_tick {}, now));
         for (size_t link = 0; link < members.links.size(); ++link) {
-            Membership::probe_heard probe;
+            Membership::probe_received probe;
             probe.from = from.id;
             probe.fromAddress = from.peerAddress;
             probe.incarnation = from.incarnation;
@@ -163,7 +163,7 @@
     Membership::member changing = members.members.begin()->second;
     for (auto _ : state) {
         changing.incarnation.value += 1;
-        benchmark::DoNotOptimize(stepMembership(members, Membership::facts_heard { { "x" }, { changing } }, testStart));
+        benchmark::DoNotOptimize(stepMembership(members, Membership::member_records_received { { "x" }, { changing } }, testStart));
     }
 }
 BENCHMARK(memberChange)->Arg(7)->Arg(50)->Arg(150)->Arg(400);
@@ -255,7 +255,7 @@
             stepDispatch(dispatch, Dispatch::attempt_tokens { attempt, { "token " } }, clock);
         stepDispatch(dispatch, Dispatch::attempt_ended { attempt, Http::transfer_end::Complete, 200, {}, "stop" }, clock);
         for (const Endpoints::instance_info& info : makeInstances(1))
-            takeReport(dispatch.router, { info.id, 0, 0, false });
+            applyLoadReport(dispatch.router, { info.id, 0, 0, false });
     }
 }
 BENCHMARK(wholeRequest);
@@ -267,7 +267,7 @@
     stepDispatch(dispatch, makeRequest(1), clock);
     for (auto _ : state) {
         benchmark::DoNotOptimize(stepDispatch(dispatch, Dispatch::attempt_tokens { { 1 }, { "token " } }, clock));
-        stepDispatch(dispatch, Dispatch::caller_written { { 1 }, 6, true }, clock);
+        stepDispatch(dispatch, Dispatch::caller_progress { { 1 }, 6, true }, clock);
     }
 }
 BENCHMARK(oneToken);
--- a/Benchmarks/Measure.cpp
+++ b/Benchmarks/Measure.cpp
@@ -70,7 +70,7 @@
                 node.state.settings.node = { "node-" + std::to_string(index) };
                 node.state.settings.incarnation = { 1 };
                 node.state.config = shared;
-                node.state.admission.settings.refusesLate = m_options.hasAdmission;
+                node.state.admission.settings.rejectsLate = m_options.hasAdmission;
                 node.state.router.chosenPolicy = m_options.policy;
                 node.state.router.region = { node.region };
                 node.state.router.zone = { node.region };
--- a/Source/Core/Catalog/Catalog.cpp
+++ b/Source/Core/Catalog/Catalog.cpp
@@ -67,7 +67,7 @@
     return {};
 }
 
-bool mayRepeat(const route& item)
+bool mayRetry(const route& item)
 {
     return item.kind == route_kind::Idempotent || (item.kind == route_kind::Stream && item.isResumable);
 }
--- a/Source/Core/Catalog/Catalog.h
+++ b/Source/Core/Catalog/Catalog.h
@@ -55,8 +55,8 @@
 
 /// How many endpoints of a service may be ordered in each availability zone, and what they cost.
 struct scaling_bounds {
-    uint32_t least { 0 }; ///< Minimum number of endpoints in a zone.
-    uint32_t most { 0 }; ///< Maximum number of endpoints in a zone.
+    uint32_t min { 0 }; ///< Minimum number of endpoints in a zone.
+    uint32_t max { 0 }; ///< Maximum number of endpoints in a zone.
     milliseconds bootTime { 0 };
     double reclaimablePrice { 1 }; ///< As a fraction of the price of an endpoint that is not reclaimable.
     std::map<Common::zone_name, double> zonePrices; ///< Price of one endpoint for a second, by zone.
@@ -128,7 +128,7 @@
 
 /// @param item a route.
 /// @return whether a request may run more than once.
-bool mayRepeat(const route& item);
+bool mayRetry(const route& item);
 
 /// @param item a catalog.
 /// @param name a service.
--- a/Source/Core/Catalog/Tests/CatalogTest.cpp
+++ b/Source/Core/Catalog/Tests/CatalogTest.cpp
@@ -85,7 +85,7 @@
     struct row {
         route_kind kind;
         bool isResumable;
-        bool mayRepeat;
+        bool mayRetry;
     };
     const row rows[] = {
         { route_kind::Idempotent, false, true },
@@ -98,6 +98,6 @@
         route testRoute;
         testRoute.kind = item.kind;
         testRoute.isResumable = item.isResumable;
-        CHECK_EQUAL(item.mayRepeat, mayRepeat(testRoute));
+        CHECK_EQUAL(item.mayRetry, mayRetry(testRoute));
     }
 }
--- a/Source/Core/Configuration/Model.cpp
+++ b/Source/Core/Configuration/Model.cpp
@@ -104,7 +104,7 @@
     };
 
     constexpr std::array classKinds { class_kind::Model, class_kind::Service };
-    constexpr std::array versionStates { version_state::Current, version_state::TakingOver, version_state::TakenBack };
+    constexpr std::array versionStates { version_state::Current, version_state::TakingOver, version_state::RolledBack };
 
     constexpr int64_t maxInteger = std::numeric_limits<int64_t>::max();
 
@@ -127,7 +127,7 @@
         return "current";
     case version_state::TakingOver:
         return "taking_over";
-    case version_state::TakenBack:
+    case version_state::RolledBack:
         return "taken_back";
     }
     return "current";
--- a/Source/Core/Configuration/Model.h
+++ b/Source/Core/Configuration/Model.h
@@ -42,7 +42,7 @@
 enum class version_state {
     Current, ///< Receives all traffic that is not routed to another version.
     TakingOver, ///< Being rolled out; receives a share of the traffic.
-    TakenBack, ///< Withdrawn; receives no traffic.
+    RolledBack, ///< Withdrawn; receives no traffic.
 };
 
 /// A version of the endpoints of one service.
--- a/Source/Core/Control/ControlContext.cpp
+++ b/Source/Core/Control/ControlContext.cpp
@@ -28,7 +28,7 @@
     return settings.facts.store.address;
 }
 
-Scaling::order_giver control_context::issuer() const
+Scaling::order_issuer control_context::issuer() const
 {
     return { settings.self.node, lease.fence.value };
 }
--- a/Source/Core/Control/ControlContext.h
+++ b/Source/Core/Control/ControlContext.h
@@ -4,7 +4,7 @@
 /// State shared by the parts of the control duty: the client for calls to the platform, and the fleet as known here.
 
 #include "Control/ControlDuty.h"
-#include "Control/Pace.h"
+#include "Control/StoreCallIntervals.h"
 #include "Control/TrueTime.h"
 #include "Lease/Lease.h"
 
@@ -13,7 +13,7 @@
 struct control_context {
     control_settings settings;
     Http::client client;
-    Fleet::endpoint_book endpoints;
+    Fleet::endpoint_registry endpoints;
     Catalog::catalog_pointer catalog;
     Fleet::node_map nodes; ///< All registered nodes, including this one.
     std::optional<store_reading> storeClock; ///< Empty until the store has answered.
@@ -30,7 +30,7 @@
     /// @return IP address and port of the store.
     const std::string& storeAddress() const;
     /// @return this node as the issuer of orders, with the fencing token of its last lease renewal.
-    Scaling::order_giver issuer() const;
+    Scaling::order_issuer issuer() const;
     /// @return true time from the median clock offset of the nodes; nothing before the store has answered or while no
     /// node's offset is known.
     std::optional<Usage::true_time> trueTime(Common::instant now) const;
--- a/Source/Core/Control/ControlDuty.cpp
+++ b/Source/Core/Control/ControlDuty.cpp
@@ -8,8 +8,8 @@
 #include "Control/ControlContext.h"
 #include "Control/EndpointOrders.h"
 #include "Control/NodeRows.h"
-#include "Control/RolloutKeeper.h"
-#include "Control/UsageKeeper.h"
+#include "Control/RolloutTracker.h"
+#include "Control/UsageTracker.h"
 #include "Store/TableWatch.h"
 
 #include <algorithm>
@@ -63,7 +63,7 @@
             ? context.settings.calls.rows(context.storeAddress(), std::get<Store::range>(*query))
             : context.settings.calls.changes(context.storeAddress(), std::get<Store::change_query>(*query));
         context.call(std::move(request), [this, &watch, onChange](const Store::rows_answer& answer) {
-            const Store::watch_event event = Store::takeAnswer(watch, answer, Common::bootClockNow());
+            const Store::watch_event event = Store::handleAnswer(watch, answer, Common::bootClockNow());
             handleWatchEvent(watch, event);
             if (event.hasChanged)
                 (this->*onChange)();
@@ -78,7 +78,7 @@
             return;
         Common::logEvent(Common::log_level::Info, "store_regained", { { "table", watch.settings.table }, { "newest", watch.newest.value } });
         if (&watch == &endpointWatch)
-            Fleet::noteStoreReturned(context.endpoints, Common::bootClockNow());
+            Fleet::startMissingEntryGrace(context.endpoints, Common::bootClockNow());
     }
 
     void operatorRowsChanged()
@@ -111,20 +111,20 @@
     {
         for (const auto& [version, share] : action.shares) {
             Common::logEvent(Common::log_level::Info, "version_share", { { "service", action.service }, { "version", version.value }, { "thousandths", share } });
-            outlets.tellGateway(Gateway::version_share_known { { action.service }, version, share });
+            outlets.sendToGateway(Gateway::version_share_update { { action.service }, version, share });
         }
         // No shares: the rollout is complete, and the new version receives all requests.
         const auto ended = rollouts.rollouts.find({ action.service });
         if (action.shares.empty() && ended != rollouts.rollouts.end())
-            outlets.tellGateway(Gateway::version_share_known { { action.service }, ended->second.order.to, 1000 });
+            outlets.sendToGateway(Gateway::version_share_update { { action.service }, ended->second.order.to, 1000 });
     }
 
-    void perform(const Rollout::tell_evidence& action) { outlets.tellPeersEvidence(action); }
+    void perform(const Rollout::broadcast_evidence& action) { outlets.broadcastEvidence(action); }
 
-    void perform(const Rollout::tell_latch& action)
+    void perform(const Rollout::broadcast_latch& action)
     {
         Common::logEvent(Common::log_level::Warning, "version_latched", { { "service", action.key.service }, { "version", action.key.version.value }, { "cause", action.cause } });
-        outlets.tellPeersLatch(action);
+        outlets.broadcastLatch(action);
     }
 
     void perform(const Rollout::propose_end& action) { recordProposal(rollouts, action); }
@@ -163,8 +163,8 @@
         context.catalog = newer;
         catalogText = rows.at(context.settings.calls.catalogKey).value;
         Common::logEvent(Common::log_level::Info, "catalog_in_force", { { "version", context.catalog->version }, { "routes", context.catalog->routes.size() }, { "accounts", context.catalog->accounts.size() }, { "source", source } });
-        outlets.tellGateway(Gateway::catalog_known { context.catalog });
-        outlets.tellPeersCatalog(context.catalog->version);
+        outlets.sendToGateway(Gateway::catalog_update { context.catalog });
+        outlets.announceCatalog(context.catalog->version);
     }
 
     void endpointRowsChanged()
@@ -173,23 +173,23 @@
         const auto changes = Fleet::applyListing(context.endpoints, listing, Common::bootClockNow());
         for (const Fleet::endpoint_change& change : changes)
             publishEndpointChange(change, "store");
-        outlets.tellGateway(Gateway::endpoints_known { context.endpoints.endpoints });
+        outlets.sendToGateway(Gateway::endpoints_update { context.endpoints.endpoints });
     }
 
     void dropMissingEndpoints(Common::instant now)
     {
-        const auto changes = Fleet::dropMissing(context.endpoints, now);
+        const auto changes = Fleet::removeExpiredMissing(context.endpoints, now);
         for (const Fleet::endpoint_change& change : changes)
             publishEndpointChange(change, "not_returned");
         if (!changes.empty())
-            outlets.tellGateway(Gateway::endpoints_known { context.endpoints.endpoints });
+            outlets.sendToGateway(Gateway::endpoints_update { context.endpoints.endpoints });
     }
 
     void publishEndpointChange(const Fleet::endpoint_change& change, const char* source)
     {
         Common::logEvent(Common::log_level::Info, "endpoint_changed", { { "endpoint", change.item.id.value }, { "change", Fleet::nameOf(change.kind) }, { "service", change.item.service.value }, { "zone", change.item.zone.value }, { "reclaimable", change.item.isReclaimable }, { "version", change.item.version.value }, { "source", source }, { "row_version", endpointWatch.newest.value } });
         if (change.kind == Fleet::change_kind::BeganLeaving)
-            outlets.tellPeersLeaving(change.item);
+            outlets.broadcastLeaving(change.item);
         if (change.kind != Fleet::change_kind::Appeared)
             Scaling::recordEndpointLoss(orders.orders, { change.item.service, change.item.zone, change.item.isReclaimable }, Common::bootClockNow());
     }
@@ -198,19 +198,19 @@
     {
         readNodeRows(nodeRows);
         updateCallIntervals();
-        perform(evaluate(rollouts, Rollout::nodes_counted { context.nodes.size() }, Common::bootClockNow()));
+        perform(evaluate(rollouts, Rollout::node_count_changed { context.nodes.size() }, Common::bootClockNow()));
         outlets.publishNodes(context.nodes);
     }
 
     void updateCallIntervals()
     {
         const store_call_intervals intervals = callIntervalsFor(context.nodes.size(), context.settings.facts.bounds);
-        operatorWatch.settings.longestWait = intervals.catalogWait;
-        endpointWatch.settings.longestWait = intervals.endpointWait;
+        operatorWatch.settings.maxWait = intervals.catalogWait;
+        endpointWatch.settings.maxWait = intervals.endpointWait;
         endpointWatch.settings.pause = intervals.endpointBatchDelay;
         nodeRows.watch.settings.pause = intervals.nodeBatchDelay;
         for (Store::table_watch* watch : { &operatorWatch, &endpointWatch, &nodeRows.watch, &statusWatch })
-            watch->settings.longestRetry = intervals.longestRetry;
+            watch->settings.maxRetryDelay = intervals.maxRetryDelay;
         context.lease.settings.watchInterval = leaseWatchRank() < frequentWatchers ? frequentWatchInterval : rareWatchInterval;
     }
 
@@ -267,37 +267,37 @@
 
     // --- Messages
 
-    void handle(interval_seen&& message)
+    void handle(gateway_interval_reported&& message)
     {
         for (Usage::begun_request& request : message.report.begun)
             usage.unassigned.push_back(std::move(request));
         Scaling::recordDemand(orders.demand, message.report.demand, Common::bootClockNow());
     }
 
-    void handle(demand_heard&& message)
+    void handle(peer_demand_received&& message)
     {
         Scaling::recordDemand(orders.demand, message.demand, Common::bootClockNow());
     }
 
-    void handle(leaving_heard&& message)
+    void handle(endpoint_leaving_received&& message)
     {
-        const auto change = Fleet::noteLeaving(context.endpoints, message.endpoint, message.started);
+        const auto change = Fleet::markLeaving(context.endpoints, message.endpoint, message.started);
         if (!change)
             return;
         publishEndpointChange(*change, "peer");
-        outlets.tellGateway(Gateway::endpoints_known { context.endpoints.endpoints });
+        outlets.sendToGateway(Gateway::endpoints_update { context.endpoints.endpoints });
     }
 
-    void handle(newer_catalog_heard&& message)
+    void handle(catalog_version_announced&& message)
     {
         if (context.catalog && message.version <= context.catalog->version)
             return;
-        operatorWatch.wantsRefresh = true;
+        operatorWatch.isRefreshRequested = true;
         // The store may be unreachable from this node only, or its change feed may have stalled.
-        outlets.askPeersCatalog(context.catalog ? context.catalog->version : 0);
+        outlets.requestCatalog(context.catalog ? context.catalog->version : 0);
     }
 
-    void handle(catalog_text_heard&& message)
+    void handle(catalog_received&& message)
     {
         Store::row row;
         row.name = { context.settings.calls.operatorTable, "", context.settings.calls.catalogKey };
@@ -305,35 +305,35 @@
         applyCatalog({ { context.settings.calls.catalogKey, std::move(row) } }, "peer");
     }
 
-    void handle(catalog_asked&& message)
+    void handle(catalog_requested&& message)
     {
         if (context.catalog && context.catalog->version > message.after)
-            outlets.givePeerCatalog(message.peer, context.catalog->version, catalogText);
+            outlets.sendCatalog(message.peer, context.catalog->version, catalogText);
     }
 
-    void handle(dead_nodes_known&& message)
+    void handle(dead_nodes_updated&& message)
     {
         nodeRows.deadNodes = std::move(message.nodes);
     }
 
-    void handle(leave_ended&&)
+    void handle(leave_finished&&)
     {
         removeSelf(nodeRows);
     }
 
-    void handle(leave_begun&&)
+    void handle(leave_started&&)
     {
         markSelfLeaving(nodeRows);
         context.lease.isResigning = true;
     }
 
-    void handle(settings_changed&& message)
+    void handle(settings_reloaded&& message)
     {
         context.settings.facts.store = message.facts.store;
         context.settings.facts.cloud = message.facts.cloud;
     }
 
-    void handle(Gateway::attempt_seen&& message) { perform(evaluate(rollouts, toObservedAttempt(message), Common::bootClockNow())); }
+    void handle(Gateway::attempt_report&& message) { perform(evaluate(rollouts, toObservedAttempt(message), Common::bootClockNow())); }
 
     void handle(Rollout::peer_evidence&& message) { perform(evaluate(rollouts, std::move(message), Common::bootClockNow())); }
 
@@ -372,17 +372,17 @@
     self.context.settings = std::move(settings);
     self.outlets = std::move(outlets);
     const store_call_intervals intervals = callIntervalsFor(1, self.context.settings.facts.bounds);
-    self.operatorWatch.settings = { self.context.settings.calls.operatorTable, intervals.catalogWait, intervals.longestRetry, {} };
-    self.endpointWatch.settings = { self.context.settings.calls.endpointTable, intervals.endpointWait, intervals.longestRetry, intervals.endpointBatchDelay };
-    self.statusWatch.settings = { self.context.settings.calls.statusTable, statusTableWait, intervals.longestRetry, {} };
+    self.operatorWatch.settings = { self.context.settings.calls.operatorTable, intervals.catalogWait, intervals.maxRetryDelay, {} };
+    self.endpointWatch.settings = { self.context.settings.calls.endpointTable, intervals.endpointWait, intervals.maxRetryDelay, intervals.endpointBatchDelay };
+    self.statusWatch.settings = { self.context.settings.calls.statusTable, statusTableWait, intervals.maxRetryDelay, {} };
     self.rollouts = makeRolloutTracker(self.context.settings.facts.bounds.exposureShare);
-    self.nodeRows.watch.settings = { nodeTable, nodeTableWait, intervals.longestRetry, intervals.nodeBatchDelay };
+    self.nodeRows.watch.settings = { nodeTable, nodeTableWait, intervals.maxRetryDelay, intervals.nodeBatchDelay };
     self.context.lease.settings.self = self.context.settings.self.node;
     self.context.lease.settings.duration = std::max(self.context.lease.settings.duration, self.context.settings.facts.bounds.lease + milliseconds(600));
     self.context.lease.lastNonce = self.context.settings.seed & ((uint64_t { 1 } << nonceBits) - 1);
     self.usage.counter.windowLength = self.context.settings.facts.bounds.usageWindow;
     self.usage.reporter.windowLength = self.context.settings.facts.bounds.usageWindow;
-    self.usage.reporter.due = self.context.settings.facts.bounds.usageDue;
+    self.usage.reporter.due = self.context.settings.facts.bounds.usageReportDeadline;
     self.inbox.setWaker([&self] { self.context.client.wake(); });
 }
 
--- a/Source/Core/Control/ControlDuty.h
+++ b/Source/Core/Control/ControlDuty.h
@@ -17,68 +17,68 @@
 namespace Control {
 
 /// The gateway's report of one interval: begun requests and demand.
-struct interval_seen {
+struct gateway_interval_reported {
     Gateway::interval_report report;
 };
 
 /// Demand reported by another node.
-struct demand_heard {
+struct peer_demand_received {
     Scaling::node_demand demand;
 };
 
 /// A peer, or the endpoint itself, reports that an endpoint is leaving.
-struct leaving_heard {
+struct endpoint_leaving_received {
     Common::endpoint_id endpoint;
     Fleet::start_time started;
 };
 
 /// A peer has announced a catalog version that may be newer than this node's.
-struct newer_catalog_heard {
+struct catalog_version_announced {
     uint64_t version { 0 };
 };
 
 /// A peer has sent the catalog in the platform's format.
-struct catalog_text_heard {
+struct catalog_received {
     uint64_t version { 0 };
     std::string text;
 };
 
 /// A peer requests the catalog if this node has a newer version than `after`.
-struct catalog_asked {
+struct catalog_requested {
     Common::node_id peer;
     uint64_t after { 0 };
 };
 
 /// All nodes that the membership protocol has considered dead for some time.
-struct dead_nodes_known {
+struct dead_nodes_updated {
     std::set<Common::node_id> nodes;
 };
 
 /// This node starts to drain.
-struct leave_begun { };
+struct leave_started { };
 
 /// This node has drained: its row in the store is removed.
-struct leave_ended { };
+struct leave_finished { };
 
 /// The settings file was reloaded.
-struct settings_changed {
+struct settings_reloaded {
     Fleet::node_facts facts;
 };
 
-using control_message = std::variant<interval_seen, demand_heard, leaving_heard, newer_catalog_heard, catalog_text_heard, catalog_asked, dead_nodes_known, leave_begun, leave_ended, settings_changed, Gateway::attempt_seen, Rollout::peer_evidence, Rollout::peer_latch>;
+using control_message = std::variant<gateway_interval_reported, peer_demand_received, endpoint_leaving_received, catalog_version_announced, catalog_received, catalog_requested, dead_nodes_updated, leave_started, leave_finished, settings_reloaded, Gateway::attempt_report, Rollout::peer_evidence, Rollout::peer_latch>;
 
 /// Outputs of the duty, called on its thread. They must not block.
 struct control_outlets {
-    std::function<void(Gateway::gateway_message&&)> tellGateway;
+    std::function<void(Gateway::gateway_message&&)> sendToGateway;
     /// Receives all registered nodes, including this one.
     std::function<void(const Fleet::node_map&)> publishNodes;
-    std::function<void(const Fleet::endpoint&)> tellPeersLeaving;
-    std::function<void(uint64_t catalogVersion)> tellPeersCatalog;
+    std::function<void(const Fleet::endpoint&)> broadcastLeaving;
+    std::function<void(uint64_t catalogVersion)> announceCatalog;
     /// Requests the catalog from peers that have a newer version than `after`.
-    std::function<void(uint64_t after)> askPeersCatalog;
-    std::function<void(const Common::node_id& peer, uint64_t version, std::string text)> givePeerCatalog;
-    std::function<void(const Rollout::tell_evidence&)> tellPeersEvidence;
-    std::function<void(const Rollout::tell_latch&)> tellPeersLatch;
+    std::function<void(uint64_t after)> requestCatalog;
+    std::function<void(const Common::node_id& peer, uint64_t version, std::string text)> sendCatalog;
+    std::function<void(const Rollout::broadcast_evidence&)> broadcastEvidence;
+    std::function<void(const Rollout::broadcast_latch&)> broadcastLatch;
 };
 
 struct control_settings {
--- a/Source/Core/Control/PlatformCalls.h
+++ b/Source/Core/Control/PlatformCalls.h
@@ -5,7 +5,7 @@
 /// them.
 
 #include "Catalog/Catalog.h"
-#include "Fleet/EndpointBook.h"
+#include "Fleet/EndpointRegistry.h"
 #include "Http/Client.h"
 #include "Scaling/Order.h"
 #include "Store/Rows.h"
@@ -35,8 +35,8 @@
     Http::outgoing_request (*changes)(const std::string& address, const Store::change_query& query) { nullptr };
     Http::outgoing_request (*transaction)(const std::string& address, const Store::transaction& transaction) { nullptr };
     Store::rows_answer (*storeAnswer)(const Http::transfer_answer& answer) { nullptr };
-    Http::outgoing_request (*usage)(const std::string& address, const Scaling::order_giver& issuer, Usage::window_number window, const Usage::account_counts& counts) { nullptr };
-    Http::outgoing_request (*order)(const std::string& address, const Scaling::order_giver& issuer, const Scaling::order& order) { nullptr };
+    Http::outgoing_request (*usage)(const std::string& address, const Scaling::order_issuer& issuer, Usage::window_number window, const Usage::account_counts& counts) { nullptr };
+    Http::outgoing_request (*order)(const std::string& address, const Scaling::order_issuer& issuer, const Scaling::order& order) { nullptr };
     Scaling::order_outcome (*dutyAnswer)(const Http::transfer_answer& answer) { nullptr };
     const char* operatorTable { "" };
     const char* endpointTable { "" };
--- a/Source/Core/Control/RolloutKeeper.cpp
+++ b/Source/Core/Control/RolloutTracker.cpp
@@ -1,4 +1,4 @@
-#include "Control/RolloutKeeper.h"
+#include "Control/RolloutTracker.h"
 
 namespace Control {
 
@@ -28,7 +28,7 @@
     {
         if (!rollout.reported || *rollout.reported == rollout_status::InProgress)
             return Configuration::version_state::TakingOver;
-        return *rollout.reported == rollout_status::Completed ? Configuration::version_state::Current : Configuration::version_state::TakenBack;
+        return *rollout.reported == rollout_status::Completed ? Configuration::version_state::Current : Configuration::version_state::RolledBack;
     }
 
     rollout_actions evaluateVersions(rollout_tracker& tracker, Common::instant now)
@@ -43,7 +43,7 @@
             version.deadline = toEvaluationTime(rollout.seenAt + rollout.order.time);
             config->versions[Configuration::versionKey(version.service, version.name)] = version;
         }
-        return Rollout::stepRollout(tracker.evaluation, Rollout::configuration_seen { std::move(config) }, toEvaluationTime(now));
+        return Rollout::stepRollout(tracker.evaluation, Rollout::configuration_changed { std::move(config) }, toEvaluationTime(now));
     }
 
     Store::row_version versionOf(const std::map<std::string, Store::row>& rows, const rollout_order& order)
@@ -125,23 +125,23 @@
     return {};
 }
 
-Rollout::attempt_observed toObservedAttempt(const Gateway::attempt_seen& attempt)
+Rollout::attempt_observed toObservedAttempt(const Gateway::attempt_report& attempt)
 {
     Rollout::attempt_observed observed { attempt.service.value, attempt.version, { attempt.route.value }, Rollout::attempt_event::Begun };
-    switch (attempt.what) {
-    case Gateway::attempt_seen::event::Begun:
+    switch (attempt.type) {
+    case Gateway::attempt_report::event::Begun:
         observed.event = Rollout::attempt_event::Begun;
         break;
-    case Gateway::attempt_seen::event::Good:
-        observed.event = Rollout::attempt_event::Good;
+    case Gateway::attempt_report::event::OnTime:
+        observed.event = Rollout::attempt_event::Succeeded;
         break;
-    case Gateway::attempt_seen::event::Failed:
+    case Gateway::attempt_report::event::Failed:
         observed.event = Rollout::attempt_event::Failed;
         break;
-    case Gateway::attempt_seen::event::Late:
+    case Gateway::attempt_report::event::Late:
         observed.event = Rollout::attempt_event::Late;
         break;
-    case Gateway::attempt_seen::event::Abandoned:
+    case Gateway::attempt_report::event::Abandoned:
         observed.event = Rollout::attempt_event::Abandoned;
         break;
     }
--- a/Source/Core/Control/RolloutKeeper.h
+++ b/Source/Core/Control/RolloutTracker.h
@@ -52,7 +52,7 @@
 
 /// @param attempt an event of an attempt, reported by the gateway.
 /// @return the same event in the form that the evaluation takes.
-Rollout::attempt_observed toObservedAttempt(const Gateway::attempt_seen& attempt);
+Rollout::attempt_observed toObservedAttempt(const Gateway::attempt_report& attempt);
 
 /// @return whether any rollout is in progress.
 bool isActive(const rollout_tracker& tracker);
--- a/Source/Core/Control/Pace.cpp
+++ b/Source/Core/Control/StoreCallIntervals.cpp
@@ -1,4 +1,4 @@
-#include "Control/Pace.h"
+#include "Control/StoreCallIntervals.h"
 
 #include <algorithm>
 
@@ -21,7 +21,7 @@
     /// Refused calls count towards the store's rate limit, so retries back off. All bounds must be met again some
     /// seconds after the store returns; the maximum delay leaves time for a last retry within them.
     constexpr milliseconds baseRetryDelay { 600 };
-    constexpr milliseconds maxRetryDelay { 2400 };
+    constexpr milliseconds retryDelayLimit { 2400 };
     /// Usage counts not yet written are lost when the node is killed, so they are written at least this often.
     constexpr milliseconds countInterval { 1000 };
 
@@ -39,7 +39,7 @@
     intervals.endpointWait = std::min(scaledInterval(endpointWait, nodes), maxFeedWait);
     intervals.endpointBatchDelay = nodes <= nodesPerIntervalStep ? endpointBatchDelay : bounds.drain / batchDelaysPerDrain;
     intervals.nodeBatchDelay = scaledInterval(nodeBatchDelay, nodes);
-    intervals.longestRetry = std::min(scaledInterval(baseRetryDelay, nodes), maxRetryDelay);
+    intervals.maxRetryDelay = std::min(scaledInterval(baseRetryDelay, nodes), retryDelayLimit);
     intervals.countInterval = scaledInterval(countInterval, nodes);
     return intervals;
 }
--- a/Source/Core/Control/Pace.h
+++ b/Source/Core/Control/StoreCallIntervals.h
@@ -17,7 +17,7 @@
     milliseconds endpointWait { 0 }; ///< Maximum long-poll wait for changes of the endpoint table.
     milliseconds endpointBatchDelay { 0 }; ///< Delay after a change until the next poll, to batch changes.
     milliseconds nodeBatchDelay { 0 }; ///< The same for the node table.
-    milliseconds longestRetry { 0 }; ///< Maximum retry delay of a poll while the store doesn't answer.
+    milliseconds maxRetryDelay { 0 }; ///< Maximum retry delay of a poll while the store doesn't answer.
     milliseconds countInterval { 0 }; ///< Between two writes of the usage counts of an open window.
 };
 
--- a/Source/Core/Control/Tests/ControlTest.cpp
+++ b/Source/Core/Control/Tests/ControlTest.cpp
@@ -1,8 +1,8 @@
 /// @file
 /// Usage reports, intervals of store calls, true time and rollouts of the control duty.
 
-#include "Control/Pace.h"
-#include "Control/RolloutKeeper.h"
+#include "Control/RolloutTracker.h"
+#include "Control/StoreCallIntervals.h"
 #include "Control/TrueTime.h"
 #include "Control/UsageReporter.h"
 
@@ -168,7 +168,7 @@
         // Operator's table, endpoints, nodes.
         constexpr double tables = 3;
         CHECK(reads < readsPerSecond / 4);
-        CHECK(tables * perSecond(nodes, intervals.longestRetry) < readsPerSecond / 4);
+        CHECK(tables * perSecond(nodes, intervals.maxRetryDelay) < readsPerSecond / 4);
         CHECK(writes < writesPerSecond / 4);
         CHECK(intervals.endpointBatchDelay <= bounds.drain / 2);
         CHECK(intervals.catalogWait >= milliseconds(1500));
@@ -231,7 +231,7 @@
 
     void observe(const char* version, bool isGood, int64_t now)
     {
-        for (const auto event : { Gateway::attempt_seen::event::Begun, isGood ? Gateway::attempt_seen::event::Good : Gateway::attempt_seen::event::Failed })
+        for (const auto event : { Gateway::attempt_report::event::Begun, isGood ? Gateway::attempt_report::event::OnTime : Gateway::attempt_report::event::Failed })
             apply(evaluate(tracker, toObservedAttempt({ { "s" }, { version }, { "r" }, event }), at(now)));
     }
 
--- a/Source/Core/Control/UsageKeeper.cpp
+++ b/Source/Core/Control/UsageTracker.cpp
@@ -1,4 +1,4 @@
-#include "Control/UsageKeeper.h"
+#include "Control/UsageTracker.h"
 
 #include "Common/BootClock.h"
 #include "Common/Log.h"
--- a/Source/Core/Dispatch/DispatchDuty.cpp
+++ b/Source/Core/Dispatch/DispatchDuty.cpp
@@ -61,7 +61,7 @@
 
 void dispatch_duty::flushToCallers()
 {
-    if (!m_callerActions.empty() && m_outlets.tellCallers(m_callerActions))
+    if (!m_callerActions.empty() && m_outlets.sendToCallers(m_callerActions))
         m_callerActions.clear();
 }
 
@@ -165,19 +165,19 @@
                          } });
 }
 
-void dispatch_duty::perform(observe_attempt& action)
+void dispatch_duty::perform(report_rollout_event& action)
 {
-    m_outlets.observe(std::move(action.observed));
+    m_outlets.reportRolloutEvent(std::move(action.observed));
 }
 
-void dispatch_duty::perform(report_refused& action)
+void dispatch_duty::perform(report_connection_refused& action)
 {
-    m_outlets.reportRefused(action.endpoint);
+    m_outlets.reportConnectionRefused(action.endpoint);
 }
 
 void dispatch_duty::perform(offer_transfer& action)
 {
-    m_outlets.offerTransfer(std::move(action.item));
+    m_outlets.offerTransfer(std::move(action.transfer));
 }
 
 void dispatch_duty::perform(accept_transfer& action)
@@ -190,9 +190,9 @@
     m_outlets.confirmHeld(action);
 }
 
-void dispatch_duty::perform(note_event& action)
+void dispatch_duty::perform(request_event& action)
 {
-    m_outlets.note(action);
+    m_outlets.recordEvent(action);
 }
 
 void dispatch_duty::publishMetrics() const
--- a/Source/Core/Dispatch/DispatchDuty.h
+++ b/Source/Core/Dispatch/DispatchDuty.h
@@ -19,14 +19,14 @@
 /// Functions that pass the duty's actions on to other duties. They are called on the duty's thread and must not block.
 struct dispatch_outlets {
     /// @return false when the ring of the receiver is full; the duty then keeps the actions and passes them again later.
-    std::function<bool(std::vector<caller_action>&)> tellCallers;
+    std::function<bool(std::vector<caller_action>&)> sendToCallers;
     std::function<void(Platform::table_call&&)> callTable;
-    std::function<void(const Common::endpoint_id&)> reportRefused; ///< The endpoint refused a connection.
-    std::function<void(Rollout::attempt_observed&&)> observe;
+    std::function<void(const Common::endpoint_id&)> reportConnectionRefused; ///< The endpoint refused a connection.
+    std::function<void(Rollout::attempt_observed&&)> reportRolloutEvent;
     std::function<void(request_transfer&&)> offerTransfer;
     std::function<void(const accept_transfer&)> acceptTransfer;
     std::function<void(const confirm_held&)> confirmHeld;
-    std::function<void(const note_event&)> note;
+    std::function<void(const request_event&)> recordEvent;
 };
 
 class dispatch_duty {
@@ -56,12 +56,12 @@
     void perform(resume_attempt& action);
     void perform(write_record& action);
     void perform(read_record& action);
-    void perform(observe_attempt& action);
-    void perform(report_refused& action);
+    void perform(report_rollout_event& action);
+    void perform(report_connection_refused& action);
     void perform(offer_transfer& action);
     void perform(accept_transfer& action);
     void perform(confirm_held& action);
-    void perform(note_event& action);
+    void perform(request_event& action);
     template <typename action_type>
     void perform(action_type& action);
     void handleEngineBytes(Common::attempt_number attempt, long status, std::string_view bytes);
--- a/Source/Core/Dispatch/Dispatcher.cpp
+++ b/Source/Core/Dispatch/Dispatcher.cpp
@@ -70,7 +70,7 @@
     void reportRolloutEvent(step_context& context, const request_entry& request, Rollout::attempt_event event)
     {
         if (context.state.sharesByService.contains(request.work.service))
-            context.output.push_back(observe_attempt { { request.work.service, request.attempt->version, request.work.name, event } });
+            context.output.push_back(report_rollout_event { { request.work.service, request.attempt->version, request.work.name, event } });
     }
 
     Rollout::attempt_event classifyAttempt(dispatch_state& state, const request_entry& request, const Routing::attempt_outcome& outcome)
@@ -80,7 +80,7 @@
             return Rollout::attempt_event::Failed;
         if (outcome.isFailed || !outcome.answerSeconds)
             return Rollout::attempt_event::Abandoned;
-        return request.attempt->isLate ? Rollout::attempt_event::Late : Rollout::attempt_event::Good;
+        return request.attempt->isLate ? Rollout::attempt_event::Late : Rollout::attempt_event::Succeeded;
     }
 
     void handle(step_context& context, caller_request&& message)
@@ -112,7 +112,7 @@
         resumeCaller(context, request, message);
     }
 
-    void handle(step_context& context, caller_written&& message)
+    void handle(step_context& context, caller_progress&& message)
     {
         const auto found = context.state.byCaller.find(message.token.value);
         if (found != context.state.byCaller.end())
@@ -138,7 +138,7 @@
         if (!request)
             return;
         if (message.end == Http::transfer_end::NotSent)
-            context.output.push_back(report_refused { request->attempt->endpoint });
+            context.output.push_back(report_connection_refused { request->attempt->endpoint });
         if (request->work.kind == Configuration::class_kind::Model)
             handleModelAttemptEnd(context, *request, message);
         else
@@ -159,13 +159,13 @@
 
     void handle(step_context& context, endpoints_published&& message)
     {
-        context.state.router.sharingNodes = message.sharingNodes;
+        context.state.router.nodesPerEndpoint = message.nodesPerEndpoint;
         Routing::setEndpoints(context.state.router, *message.usable, context.clock.now);
     }
 
     void handle(step_context& context, load_published&& message)
     {
-        Routing::takeReport(context.state.router, message.report);
+        Routing::applyLoadReport(context.state.router, message.report);
     }
 
     void handle(step_context& context, shares_published&& message)
@@ -178,7 +178,7 @@
         receiveTransfer(context, std::move(message));
     }
 
-    void handle(step_context& context, transfer_taken&& message)
+    void handle(step_context& context, transfer_accepted&& message)
     {
         const auto found = context.state.requests.find(message.request);
         if (found != context.state.requests.end())
@@ -188,7 +188,7 @@
     void handle(step_context& context, holder_query&& message)
     {
         if (context.state.requests.contains(message.request))
-            context.output.push_back(confirm_held { message.asker, message.request });
+            context.output.push_back(confirm_held { message.requester, message.request });
     }
 
     void handle(step_context& context, drain_begun&&)
@@ -249,13 +249,13 @@
     if (context.state.isDraining)
         refusal = Common::failure { Common::failure_kind::NodeDraining, context.state.settings.node.value, Common::run_state::NotRun, drainRetryAfterSeconds };
     else
-        refusal = Limits::refuse(context.state.admission, *context.state.config, request->account, request->work, predict(context, *request));
+        refusal = Limits::checkAdmission(context.state.admission, *context.state.config, request->account, request->work, predict(context, *request));
     if (refusal) {
         recordEvent(context, "request_refused", *request, { { "code", nameOf(refusal->kind) } });
         context.output.push_back(send_failure { token, request->id, *refusal });
         return nullptr;
     }
-    Limits::noteAdmitted(context.state.admission, request->account);
+    Limits::recordAdmitted(context.state.admission, request->account);
     Limits::earnRetry(context.state.budgets, request->account);
     request_entry* admitted = request.get();
     context.state.byCaller[token.value] = admitted;
@@ -287,7 +287,7 @@
     request.attemptsBegun += 1;
     request.phase = request_phase::Running;
     state.byAttempt[attempt.number.value] = &request;
-    Routing::noteBegun(state.router, attempt.endpoint, request.prefixHash);
+    Routing::recordAttemptStart(state.router, attempt.endpoint, request.prefixHash);
     reportRolloutEvent(context, request, Rollout::attempt_event::Begun);
     return true;
 }
@@ -297,7 +297,7 @@
     if (!request.attempt)
         return;
     reportRolloutEvent(context, request, classifyAttempt(context.state, request, outcome));
-    Routing::noteEnded(context.state.router, request.attempt->endpoint, outcome, context.clock.now);
+    Routing::recordAttemptEnd(context.state.router, request.attempt->endpoint, outcome, context.clock.now);
     context.state.byAttempt.erase(request.attempt->number.value);
     request.attempt.reset();
 }
@@ -318,13 +318,13 @@
         closeAttempt(context, request, {});
     }
     detachCaller(context, request);
-    Limits::noteReleased(context.state.admission, request.account);
+    Limits::recordEnded(context.state.admission, request.account);
     context.state.requests.erase(Common::request_id(request.id));
 }
 
 void recordEvent(step_context& context, std::string_view event, const request_entry& request, nlohmann::json fields)
 {
-    context.output.push_back(note_event { event, request.id, std::move(fields) });
+    context.output.push_back(request_event { event, request.id, std::move(fields) });
 }
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/Dispatcher.h
+++ b/Source/Core/Dispatch/Dispatcher.h
@@ -5,8 +5,8 @@
 /// output is returned as actions, so nothing here reads a clock or a socket.
 
 #include "Dispatch/Request.h"
+#include "Limits/AccountRetryBudget.h"
 #include "Limits/Admission.h"
-#include "Limits/RetryBudget.h"
 #include "Routing/Router.h"
 
 #include <memory>
--- a/Source/Core/Dispatch/Messages.h
+++ b/Source/Core/Dispatch/Messages.h
@@ -42,7 +42,7 @@
 };
 
 /// Bytes of a streamed answer were written to the caller's connection, or the connection was closed.
-struct caller_written {
+struct caller_progress {
     Common::caller_token token;
     size_t bytes { 0 };
     bool isAlive { true }; ///< False when the connection was closed.
@@ -83,7 +83,7 @@
 
 struct endpoints_published {
     Endpoints::endpoint_list usable;
-    double sharingNodes { 1 }; ///< Estimated number of entry nodes that send requests to the same endpoint, this one included.
+    double nodesPerEndpoint { 1 }; ///< Estimated number of entry nodes that send requests to the same endpoint, this one included.
 };
 
 struct load_published {
@@ -108,11 +108,11 @@
 /// A leaving peer offers a request.
 struct transfer_offered {
     Common::node_id from;
-    request_transfer item;
+    request_transfer transfer;
 };
 
 /// A peer has accepted a request that this node offered.
-struct transfer_taken {
+struct transfer_accepted {
     Common::request_id request;
     std::string httpAddress; ///< Where the caller continues the request.
 };
@@ -123,7 +123,7 @@
 /// A peer asks whether this node holds a request that one of its callers wants to resume.
 struct holder_query {
     Common::request_id request;
-    Common::node_id asker;
+    Common::node_id requester;
 };
 
 /// Offer the model requests still in flight to peers.
@@ -132,8 +132,8 @@
 /// Sent at a fixed interval to check time limits and retries.
 struct dispatch_tick { };
 
-using dispatch_message = std::variant<caller_request, caller_resume, caller_written, attempt_tokens, attempt_ended, record_reply,
-    configuration_published, endpoints_published, load_published, shares_published, transfer_offered, transfer_taken, holder_query, drain_begun, handover_begun, dispatch_tick>;
+using dispatch_message = std::variant<caller_request, caller_resume, caller_progress, attempt_tokens, attempt_ended, record_reply,
+    configuration_published, endpoints_published, load_published, shares_published, transfer_offered, transfer_accepted, holder_query, drain_begun, handover_begun, dispatch_tick>;
 
 /// Sends a request to an endpoint.
 struct start_attempt {
@@ -243,18 +243,18 @@
 };
 
 /// Reports how an attempt at a service version began or ended, as evidence for its rollout.
-struct observe_attempt {
+struct report_rollout_event {
     Rollout::attempt_observed observed;
 };
 
 /// A connection to the endpoint was refused.
-struct report_refused {
+struct report_connection_refused {
     Common::endpoint_id endpoint;
 };
 
 /// Offers a request in flight to the peers because this node leaves.
 struct offer_transfer {
-    request_transfer item;
+    request_transfer transfer;
 };
 
 /// Tells the leaving peer that this node has accepted its request.
@@ -270,7 +270,7 @@
 };
 
 /// One decision or outcome, for the log and for explanations of a request.
-struct note_event {
+struct request_event {
     std::string_view event;
     Common::request_id request;
     nlohmann::json fields;
@@ -278,6 +278,6 @@
 
 using dispatch_action = std::variant<start_attempt, cancel_attempt, pause_attempt, resume_attempt, send_stream_head, send_tokens,
     send_stream_end, send_stream_failure, send_completion, send_service_answer, send_failure, send_redirect, locate_request,
-    write_record, read_record, observe_attempt, report_refused, offer_transfer, accept_transfer, confirm_held, note_event>;
+    write_record, read_record, report_rollout_event, report_connection_refused, offer_transfer, accept_transfer, confirm_held, request_event>;
 
 } // namespace Dispatch
--- a/Source/Core/Dispatch/ModelWork.cpp
+++ b/Source/Core/Dispatch/ModelWork.cpp
@@ -179,14 +179,14 @@
         Routing::endpoint_view* view = Routing::findView(context.state.router, request.attempt->endpoint);
         const double seconds = std::chrono::duration<double>(context.clock.now - request.attempt->begunAt).count();
         if (view)
-            Routing::learnFirstToken(*view, seconds, request.attempt->predictedFirstTokenSeconds);
+            Routing::updateFirstTokenEstimate(*view, seconds, request.attempt->predictedFirstTokenSeconds);
         request.attempt->isLate = seconds > std::chrono::duration<double>(request.work.firstTokenTarget).count();
         if (request.firstTokenAt)
             return;
         request.firstTokenAt = context.clock.now;
         const double sinceArrival = std::chrono::duration<double>(context.clock.now - request.arrivedAt).count();
         const bool isLate = sinceArrival > std::chrono::duration<double>(request.work.firstTokenTarget).count();
-        Routing::learnTargetShare(context.state.router, request.work.name, isLate);
+        Routing::adaptTargetShare(context.state.router, request.work.name, isLate);
         recordEvent(context, "first_token", request, { { "seconds", sinceArrival }, { "endpoint", request.attempt->endpoint.value } });
     }
 
@@ -238,7 +238,7 @@
     retryElsewhere(context, request, message.end == Http::transfer_end::NotSent ? "refused" : "cut");
 }
 
-void handleCallerWritten(step_context& context, request_entry& request, const caller_written& message)
+void handleCallerWritten(step_context& context, request_entry& request, const caller_progress& message)
 {
     if (!message.isAlive) {
         detachCaller(context, request);
@@ -311,20 +311,20 @@
 void receiveTransfer(step_context& context, transfer_offered&& message)
 {
     dispatch_state& state = context.state;
-    const auto work = state.config->classes.find(message.item.work);
+    const auto work = state.config->classes.find(message.transfer.work);
     if (state.isDraining || work == state.config->classes.end())
         return;
-    if (state.requests.contains(message.item.request)) {
-        context.output.push_back(accept_transfer { message.from, message.item.request });
+    if (state.requests.contains(message.transfer.request)) {
+        context.output.push_back(accept_transfer { message.from, message.transfer.request });
         return;
     }
     auto request = std::make_unique<request_entry>();
-    request->id = message.item.request;
-    request->account = message.item.account;
+    request->id = message.transfer.request;
+    request->account = message.transfer.account;
     request->work = work->second;
-    request->isStreamed = message.item.isStreamed;
-    request->body = std::move(message.item.body);
-    for (const std::string& text : message.item.tokens) {
+    request->isStreamed = message.transfer.isStreamed;
+    request->body = std::move(message.transfer.body);
+    for (const std::string& text : message.transfer.tokens) {
         request->tokens.text += text;
         request->tokens.ends.push_back(static_cast<uint32_t>(request->tokens.text.size()));
     }
@@ -332,7 +332,7 @@
     request->deadline = context.clock.now + state.settings.maxRequestDuration;
     request->callerGoneAt = context.clock.now + transferGrace;
     request_entry& received = *request;
-    Limits::noteAdmitted(state.admission, received.account);
+    Limits::recordAdmitted(state.admission, received.account);
     state.requests.emplace(received.id, std::move(request));
     recordEvent(context, "transfer_accepted", received, { { "from", message.from.value }, { "tokens", received.tokens.ends.size() } });
     context.output.push_back(accept_transfer { message.from, received.id });
--- a/Source/Core/Dispatch/ModelWork.h
+++ b/Source/Core/Dispatch/ModelWork.h
@@ -15,7 +15,7 @@
 /// Finishes the request, fails it, or continues it at another endpoint.
 void handleModelAttemptEnd(step_context& context, request_entry& request, const attempt_ended& message);
 /// Counts the written bytes and resumes a paused engine stream; starts the reconnect grace if the caller disconnected.
-void handleCallerWritten(step_context& context, request_entry& request, const caller_written& message);
+void handleCallerWritten(step_context& context, request_entry& request, const caller_progress& message);
 /// Attaches a reconnected caller and sends it the tokens that it doesn't have.
 void resumeCaller(step_context& context, request_entry& request, const caller_resume& message);
 /// Checks the time limits of a request and begins the next attempt of a parked one.
--- a/Source/Core/Endpoints/EndpointTable.cpp
+++ b/Source/Core/Endpoints/EndpointTable.cpp
@@ -95,7 +95,7 @@
         output.push_back(publish_load { std::move(message.report) });
     }
 
-    void handle(endpoint_table& table, instances_heard&& message, Common::instant now, actions& output)
+    void handle(endpoint_table& table, instances_received&& message, Common::instant now, actions& output)
     {
         std::vector<instance_info> newInstances;
         for (instance_info& info : message.instances) {
@@ -112,12 +112,12 @@
         output.push_back(publish_endpoints { listUsable(table, now), countSharingNodes(table) });
     }
 
-    void handle(endpoint_table&, load_heard&& message, Common::instant, actions& output)
+    void handle(endpoint_table&, load_received&& message, Common::instant, actions& output)
     {
         output.push_back(publish_load { std::move(message.report) });
     }
 
-    void handle(endpoint_table& table, pollers_known&& message, Common::instant, actions&)
+    void handle(endpoint_table& table, pollers_changed&& message, Common::instant, actions&)
     {
         table.pollers = std::move(message.pollers);
     }
--- a/Source/Core/Endpoints/EndpointTable.h
+++ b/Source/Core/Endpoints/EndpointTable.h
@@ -31,26 +31,26 @@
 };
 
 /// Instances that a peer found new on the cloud's list; they may not be on this node's copy yet.
-struct instances_heard {
+struct instances_received {
     std::vector<instance_info> instances;
 };
 
 /// A load report received from the node that polls the endpoint.
-struct load_heard {
+struct load_received {
     load_report report;
 };
 
 /// The nodes that share the polling changed.
-struct pollers_known {
+struct pollers_changed {
     std::vector<poller> pollers; ///< All alive entry nodes, this one included.
 };
 
-using table_message = std::variant<cloud_list, polled_load, leaving_notice, instances_heard, load_heard, pollers_known>;
+using table_message = std::variant<cloud_list, polled_load, leaving_notice, instances_received, load_received, pollers_changed>;
 
 /// The list of usable endpoints changed.
 struct publish_endpoints {
     endpoint_list usable;
-    double sharingNodes { 1 }; ///< Approximate number of entry nodes that send to the same endpoint.
+    double nodesPerEndpoint { 1 }; ///< Approximate number of entry nodes that send to the same endpoint.
 };
 
 struct publish_load {
--- a/Source/Core/Endpoints/EndpointsDuty.cpp
+++ b/Source/Core/Endpoints/EndpointsDuty.cpp
@@ -129,12 +129,12 @@
 void endpoints_duty::perform(const broadcast_leaving& action)
 {
     Common::logEvent(Common::log_level::Info, "endpoint_leaving", { { "endpoint", action.id.value } });
-    m_outlets.tellPeersLeaving(action.id);
+    m_outlets.broadcastLeaving(action.id);
 }
 
 void endpoints_duty::perform(const broadcast_instances& action)
 {
-    m_outlets.tellPeersInstances(action.instances);
+    m_outlets.broadcastInstances(action.instances);
 }
 
 void endpoints_duty::perform(const send_load& action)
@@ -145,7 +145,7 @@
 void endpoints_duty::flushPeerLoads()
 {
     for (const auto& [node, reports] : m_loadsForPeers)
-        m_outlets.tellPeerLoads(node, reports);
+        m_outlets.sendLoads(node, reports);
     m_loadsForPeers.clear();
 }
 
--- a/Source/Core/Endpoints/EndpointsDuty.h
+++ b/Source/Core/Endpoints/EndpointsDuty.h
@@ -25,10 +25,10 @@
 struct endpoints_outlets {
     std::function<void(const publish_endpoints&)> publishEndpoints;
     std::function<void(const load_report&)> publishLoad;
-    std::function<void(const Common::endpoint_id&)> tellPeersLeaving;
-    std::function<void(const std::vector<instance_info>&)> tellPeersInstances;
+    std::function<void(const Common::endpoint_id&)> broadcastLeaving;
+    std::function<void(const std::vector<instance_info>&)> broadcastInstances;
     /// The load reports gathered for one node since the last round of polls.
-    std::function<void(const Common::node_id&, const std::vector<load_report>&)> tellPeerLoads;
+    std::function<void(const Common::node_id&, const std::vector<load_report>&)> sendLoads;
     std::function<void(const std::vector<instance_info>&)> publishEntries;
 };
 
--- a/Source/Core/Endpoints/Tests/EndpointTableTest.cpp
+++ b/Source/Core/Endpoints/Tests/EndpointTableTest.cpp
@@ -79,9 +79,9 @@
 {
     endpoint_table table;
     stepEndpoints(table, makeList({ makeInstance("a") }), testStart);
-    const auto first = stepEndpoints(table, instances_heard { { makeInstance("b") } }, testStart);
+    const auto first = stepEndpoints(table, instances_received { { makeInstance("b") } }, testStart);
     CHECK(std::holds_alternative<broadcast_instances>(first.front()));
-    LONGS_EQUAL(0, stepEndpoints(table, instances_heard { { makeInstance("b") } }, testStart).size());
+    LONGS_EQUAL(0, stepEndpoints(table, instances_received { { makeInstance("b") } }, testStart).size());
     stepEndpoints(table, makeList({ makeInstance("a") }), testStart);
     LONGS_EQUAL(2, listUsable(table, testStart)->size());
     stepEndpoints(table, makeList({ makeInstance("a") }), testStart + listLagAllowance);
@@ -108,7 +108,7 @@
             endpoint_table table;
             table.self = node;
             stepEndpoints(table, makeList(instances), testStart);
-            stepEndpoints(table, pollers_known { pollers }, testStart);
+            stepEndpoints(table, pollers_changed { pollers }, testStart);
             polled += listPolledHere(table).size();
             const size_t used = listUsable(table, testStart)->size();
             CHECK(used >= item.minUsed && used <= item.maxUsed);
@@ -133,7 +133,7 @@
     endpoint_table table;
     table.self = { { "n0" }, {} };
     stepEndpoints(table, makeList({ makeInstance("a") }), testStart);
-    stepEndpoints(table, pollers_known { { { { "n0" }, {} }, { { "n1" }, {} }, { { "n2" }, {} } } }, testStart);
+    stepEndpoints(table, pollers_changed { { { { "n0" }, {} }, { { "n1" }, {} }, { { "n2" }, {} } } }, testStart);
     LONGS_EQUAL(3, stepEndpoints(table, polled_load { { { "a" }, 1, 0, false } }, testStart).size());
 }
 
--- a/Source/Core/Entry/EntryDuty.cpp
+++ b/Source/Core/Entry/EntryDuty.cpp
@@ -124,11 +124,11 @@
     }
     bool isAccepted = false;
     if (auto* proposal = std::get_if<Configuration::proposal>(&parsed))
-        isAccepted = m_outlets.tellConfiguration(std::move(*proposal));
+        isAccepted = m_outlets.sendToConfiguration(std::move(*proposal));
     if (auto* query = std::get_if<Audit::explain_query>(&parsed))
-        isAccepted = m_outlets.tellAudit(std::move(*query));
+        isAccepted = m_outlets.sendToAudit(std::move(*query));
     if (auto* query = std::get_if<Audit::trail_query>(&parsed))
-        isAccepted = m_outlets.tellAudit(*query);
+        isAccepted = m_outlets.sendToAudit(*query);
     if (!isAccepted)
         answerFailure(request.token, ringFullFailure("operator"));
 }
@@ -140,7 +140,7 @@
         answerFailure(token, parsed.error());
         return;
     }
-    if (!m_outlets.tellDispatch(std::move(*parsed)))
+    if (!m_outlets.sendToDispatch(std::move(*parsed)))
         answerFailure(token, ringFullFailure("dispatch"));
 }
 
@@ -163,7 +163,7 @@
     const size_t bytes = std::exchange(found->second.bytesWrittenSinceReport, 0);
     if (!isConnected)
         m_pendingWrites.erase(found);
-    static_cast<void>(m_outlets.tellDispatch(Dispatch::caller_written { token, bytes, isConnected }));
+    static_cast<void>(m_outlets.sendToDispatch(Dispatch::caller_progress { token, bytes, isConnected }));
 }
 
 void entry_duty::answerAddresses(Common::caller_token token)
--- a/Source/Core/Entry/EntryDuty.h
+++ b/Source/Core/Entry/EntryDuty.h
@@ -62,9 +62,9 @@
 /// Functions that send messages to other duties. Those with a result return whether the duty's ring accepted the message;
 /// a request that a full ring rejects is answered with Overloaded. findHolder asks the peers which of them holds a request.
 struct entry_outlets {
-    std::function<bool(Dispatch::dispatch_message&&)> tellDispatch;
-    std::function<bool(Configuration::chain_message&&)> tellConfiguration;
-    std::function<bool(Audit::audit_message&&)> tellAudit;
+    std::function<bool(Dispatch::dispatch_message&&)> sendToDispatch;
+    std::function<bool(Configuration::chain_message&&)> sendToConfiguration;
+    std::function<bool(Audit::audit_message&&)> sendToAudit;
     std::function<void(const Common::request_id&)> findHolder;
 };
 
--- a/Source/Core/Fleet/Directory.cpp
+++ b/Source/Core/Fleet/Directory.cpp
@@ -15,10 +15,10 @@
     {
         std::vector<std::string> addresses;
         for (const auto& [id, entry] : nodes) {
-            if (entry.isLeaving || !entry.isReachable || entry.callersAddress.empty() || !matches(entry))
+            if (entry.isLeaving || !entry.isReachable || entry.clientAddress.empty() || !matches(entry))
                 continue;
             if (addresses.size() < maxAddresses)
-                addresses.push_back(entry.callersAddress);
+                addresses.push_back(entry.clientAddress);
         }
         return addresses;
     }
@@ -39,12 +39,12 @@
 std::string encodeNode(const node_entry& entry)
 {
     nlohmann::json body {
-        { "callers", entry.callersAddress },
+        { "callers", entry.clientAddress },
         { "peer", entry.peerAddress },
         { "zone", entry.zone.value },
         { "region", entry.region.value },
         { "incarnation", entry.incarnation.value },
-        { "core_share", entry.coreShare },
+        { "core_share", entry.cores },
         { "leaving", entry.isLeaving },
     };
     if (entry.clockOffset)
@@ -59,12 +59,12 @@
     const nlohmann::json body = nlohmann::json::parse(text, nullptr, false);
     if (!body.is_object())
         return entry;
-    entry.callersAddress = body.value("callers", "");
+    entry.clientAddress = body.value("callers", "");
     entry.peerAddress = body.value("peer", "");
     entry.zone = { body.value("zone", "") };
     entry.region = { body.value("region", "") };
     entry.incarnation = { body.value("incarnation", uint64_t { 0 }) };
-    entry.coreShare = body.value("core_share", 1.0);
+    entry.cores = body.value("core_share", 1.0);
     entry.isLeaving = body.value("leaving", false);
     if (body.contains("clock_offset_ms") && body["clock_offset_ms"].is_number_integer())
         entry.clockOffset = body["clock_offset_ms"].get<int64_t>();
--- a/Source/Core/Fleet/Directory.h
+++ b/Source/Core/Fleet/Directory.h
@@ -15,12 +15,12 @@
 /// What is known about a node, from its row in the store and from the membership.
 struct node_entry {
     Common::node_id node;
-    std::string callersAddress; ///< Where callers connect: IP number and port; empty when it serves none.
+    std::string clientAddress; ///< Where callers connect: IP number and port; empty when it serves none.
     std::string peerAddress; ///< Where other nodes connect: IP number and port.
     Common::zone_name zone;
     Common::region_name region;
     Common::incarnation_number incarnation;
-    double coreShare { 1 }; ///< CPU cores granted to the node.
+    double cores { 1 }; ///< CPU cores granted to the node.
     /// Milliseconds by which the node's wall clock was ahead of the store's clock when the node registered; empty when
     /// unknown.
     std::optional<int64_t> clockOffset;
--- a/Source/Core/Fleet/EndpointBook.cpp
+++ b/Source/Core/Fleet/EndpointRegistry.cpp
@@ -1,4 +1,4 @@
-#include "Fleet/EndpointBook.h"
+#include "Fleet/EndpointRegistry.h"
 
 #include <set>
 
@@ -7,7 +7,7 @@
 namespace {
 
     /// Keeps a known leaving mark that the listing doesn't hold yet, and records a new one.
-    void applyKnownLeaving(endpoint_book& registry, endpoint& item)
+    void applyKnownLeaving(endpoint_registry& registry, endpoint& item)
     {
         const auto known = registry.leaving.find(item.id);
         if (known != registry.leaving.end() && known->second == item.started)
@@ -16,7 +16,7 @@
             registry.leaving[item.id] = item.started;
     }
 
-    void applyEntry(endpoint_book& registry, endpoint item, std::vector<endpoint_change>& changes)
+    void applyEntry(endpoint_registry& registry, endpoint item, std::vector<endpoint_change>& changes)
     {
         applyKnownLeaving(registry, item);
         registry.missingSince.erase(item.id);
@@ -36,7 +36,7 @@
     }
 
     /// @return whether a missing endpoint is to be removed now; otherwise it is recorded as missing.
-    bool isRemovalDue(endpoint_book& registry, const Common::endpoint_id& id, Common::instant now)
+    bool isRemovalDue(endpoint_registry& registry, const Common::endpoint_id& id, Common::instant now)
     {
         if (now >= registry.missingToleratedUntil)
             return true;
@@ -46,7 +46,7 @@
 
 } // namespace
 
-std::vector<endpoint_change> applyListing(endpoint_book& registry, const listing& latest, Common::instant now)
+std::vector<endpoint_change> applyListing(endpoint_registry& registry, const listing& latest, Common::instant now)
 {
     std::vector<endpoint_change> changes;
     std::set<Common::endpoint_id> listed;
@@ -67,7 +67,7 @@
     return changes;
 }
 
-std::vector<endpoint_change> dropMissing(endpoint_book& registry, Common::instant now)
+std::vector<endpoint_change> removeExpiredMissing(endpoint_registry& registry, Common::instant now)
 {
     std::vector<endpoint_change> changes;
     if (now < registry.missingToleratedUntil)
@@ -84,12 +84,12 @@
     return changes;
 }
 
-void noteStoreReturned(endpoint_book& registry, Common::instant now)
+void startMissingEntryGrace(endpoint_registry& registry, Common::instant now)
 {
     registry.missingToleratedUntil = now + missingEntryGrace;
 }
 
-std::optional<endpoint_change> noteLeaving(endpoint_book& registry, const Common::endpoint_id& id, start_time started)
+std::optional<endpoint_change> markLeaving(endpoint_registry& registry, const Common::endpoint_id& id, start_time started)
 {
     const auto known = registry.endpoints.find(id);
     if (known == registry.endpoints.end() || known->second.started != started)
--- a/Source/Core/Fleet/EndpointBook.h
+++ b/Source/Core/Fleet/EndpointRegistry.h
@@ -54,7 +54,7 @@
     endpoint item; ///< After the change; when it disappeared, its last state.
 };
 
-struct endpoint_book {
+struct endpoint_registry {
     endpoint_map endpoints;
     /// Starts known to be leaving. A listing that arrives later may hold older data and doesn't undo this.
     std::map<Common::endpoint_id, start_time> leaving;
@@ -72,21 +72,21 @@
 /// @param latest the newest listing.
 /// @param now current time.
 /// @return the changes.
-std::vector<endpoint_change> applyListing(endpoint_book& registry, const listing& latest, Common::instant now);
+std::vector<endpoint_change> applyListing(endpoint_registry& registry, const listing& latest, Common::instant now);
 
 /// Starts the period in which missing endpoints are kept. To be called when the store answers again after an outage:
 /// entries that are missing because of the outage may still come back.
-void noteStoreReturned(endpoint_book& registry, Common::instant now);
+void startMissingEntryGrace(endpoint_registry& registry, Common::instant now);
 
 /// Removes the endpoints that are still missing when the period after an outage is over. Needs no further listing,
 /// because none may come while the table doesn't change.
 /// @return the changes.
-std::vector<endpoint_change> dropMissing(endpoint_book& registry, Common::instant now);
+std::vector<endpoint_change> removeExpiredMissing(endpoint_registry& registry, Common::instant now);
 
 /// Marks an endpoint as leaving, on notice from a peer or from the endpoint itself.
 /// @param started the start that the notice is about; a notice about another start is ignored.
 /// @return the change; empty when nothing changed.
-std::optional<endpoint_change> noteLeaving(endpoint_book& registry, const Common::endpoint_id& id, start_time started);
+std::optional<endpoint_change> markLeaving(endpoint_registry& registry, const Common::endpoint_id& id, start_time started);
 
 /// @param kind any kind of change.
 /// @return its name in logs.
--- a/Source/Core/Fleet/NodeFacts.h
+++ b/Source/Core/Fleet/NodeFacts.h
@@ -22,7 +22,7 @@
 
 /// Resources that the machine grants the process.
 struct machine_limits {
-    double coreShare { 1 }; ///< CPU cores.
+    double cores { 1 }; ///< CPU cores.
     uint32_t memoryMegabytes { 256 };
     uint32_t fileDescriptors { 1024 };
     double linkMegabitsPerSecond { 1000 };
@@ -33,18 +33,18 @@
     milliseconds drain { 3000 }; ///< From the time an endpoint begins leaving to the last new request sent to it.
     milliseconds configuration { 3000 }; ///< From the acceptance of a catalog to its use on all nodes.
     milliseconds grace { 8000 }; ///< From SIGTERM to SIGKILL.
-    double repeatRatio { 0.2 }; ///< Retries that a service may get in a window, as a share of its requests.
-    milliseconds repeatWindow { 10000 }; ///< Window of the retry budget.
-    double repeatSlack { 50 }; ///< Retries allowed in a window in addition to the share.
-    milliseconds allowanceWindow { 8000 }; ///< Window of the account quotas.
+    double retryRatio { 0.2 }; ///< Retries that a service may get in a window, as a share of its requests.
+    milliseconds retryWindow { 10000 }; ///< Window of the retry budget.
+    double retrySlack { 50 }; ///< Retries allowed in a window in addition to the share.
+    milliseconds quotaWindow { 8000 }; ///< Window of the account quotas.
     bool requiresFence { true }; ///< Calls made for a duty must carry a fence token.
     milliseconds lease { 3000 }; ///< A duty must not return to an earlier holder within this time.
     milliseconds usageWindow { 5000 }; ///< Period that one usage report covers.
-    milliseconds usageDue { 10000 }; ///< From the end of a usage window to its report.
+    milliseconds usageReportDeadline { 10000 }; ///< From the end of a usage window to its report.
     double exposureShare { 0.1 }; ///< Largest share of a service's requests to a new version that turns out bad.
     double exposureSlack { 50 }; ///< Requests allowed in addition to the share.
     milliseconds prefixReuse { 10000 }; ///< Processing the same prompt prefix again within this time is wasted work.
-    milliseconds longestAddressLife { 5000 }; ///< Maximum time to live of a directory answer.
+    milliseconds maxAddressTtl { 5000 }; ///< Maximum time to live of a directory answer.
 };
 
 /// The platform's metadata store.
--- a/Source/Core/Fleet/Tests/FleetTest.cpp
+++ b/Source/Core/Fleet/Tests/FleetTest.cpp
@@ -2,7 +2,7 @@
 /// Endpoint changes from listings and leaving notices, and the directory's choice of nodes.
 
 #include "Fleet/Directory.h"
-#include "Fleet/EndpointBook.h"
+#include "Fleet/EndpointRegistry.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -31,15 +31,15 @@
     node_entry item;
     item.zone = { zone };
     item.region = { region };
-    item.callersAddress = address;
+    item.clientAddress = address;
     return item;
 }
 
 } // namespace
 
-TEST_GROUP(EndpointBook) {};
+TEST_GROUP(EndpointRegistry) {};
 
-TEST(EndpointBook, EachChangeIsReportedOnce)
+TEST(EndpointRegistry, EachChangeIsReportedOnce)
 {
     struct row {
         std::vector<endpoint> listed;
@@ -53,7 +53,7 @@
         { { makeEndpoint("e", 2) }, { change_kind::Restarted } },
         { {}, { change_kind::Disappeared } },
     };
-    endpoint_book registry;
+    endpoint_registry registry;
     for (const row& item : rows) {
         const auto changes = applyListing(registry, { item.listed }, at(0));
         CHECK_EQUAL(item.changes.size(), changes.size());
@@ -62,29 +62,29 @@
     }
 }
 
-TEST(EndpointBook, AnOlderListingDoesNotUndoALeavingNotice)
+TEST(EndpointRegistry, AnOlderListingDoesNotUndoALeavingNotice)
 {
-    endpoint_book registry;
+    endpoint_registry registry;
     applyListing(registry, { { makeEndpoint("e", 1) } }, at(0));
-    CHECK(noteLeaving(registry, { "e" }, { 1 }).has_value());
-    CHECK(!noteLeaving(registry, { "e" }, { 1 }).has_value());
+    CHECK(markLeaving(registry, { "e" }, { 1 }).has_value());
+    CHECK(!markLeaving(registry, { "e" }, { 1 }).has_value());
     applyListing(registry, { { makeEndpoint("e", 1) } }, at(1));
     CHECK(registry.endpoints.begin()->second.phase == endpoint_phase::Leaving);
 }
 
-TEST(EndpointBook, ANoticeAboutAnEarlierStartIsIgnored)
+TEST(EndpointRegistry, ANoticeAboutAnEarlierStartIsIgnored)
 {
-    endpoint_book registry;
+    endpoint_registry registry;
     applyListing(registry, { { makeEndpoint("e", 2) } }, at(0));
-    CHECK(!noteLeaving(registry, { "e" }, { 1 }).has_value());
+    CHECK(!markLeaving(registry, { "e" }, { 1 }).has_value());
     CHECK(registry.endpoints.begin()->second.phase == endpoint_phase::Ready);
 }
 
-TEST(EndpointBook, MissingEntriesAreKeptForAWhileAfterAnOutage)
+TEST(EndpointRegistry, MissingEntriesAreKeptForAWhileAfterAnOutage)
 {
-    endpoint_book registry;
+    endpoint_registry registry;
     applyListing(registry, { { makeEndpoint("e", 1) } }, at(0));
-    noteStoreReturned(registry, at(1000));
+    startMissingEntryGrace(registry, at(1000));
     CHECK(applyListing(registry, {}, at(1001)).empty());
     CHECK_EQUAL(1, registry.endpoints.size());
     const auto expired = applyListing(registry, {}, at(1000) + missingEntryGrace);
@@ -92,20 +92,20 @@
     CHECK(expired.front().kind == change_kind::Disappeared);
 }
 
-TEST(EndpointBook, AMissingEntryIsRemovedWithoutAnotherListing)
+TEST(EndpointRegistry, AMissingEntryIsRemovedWithoutAnotherListing)
 {
     // An entry that was removed just after the store's return stayed known, because nothing else in the table changed
     // and so no further listing came. Seen in Guild, trouble-1, seed 83990687783.
-    endpoint_book registry;
+    endpoint_registry registry;
     applyListing(registry, { { makeEndpoint("e", 1), makeEndpoint("f", 1) } }, at(0));
-    noteStoreReturned(registry, at(1000));
+    startMissingEntryGrace(registry, at(1000));
     CHECK(applyListing(registry, { { makeEndpoint("f", 1) } }, at(1600)).empty());
-    CHECK(dropMissing(registry, at(1700)).empty());
-    const auto gone = dropMissing(registry, at(1000) + missingEntryGrace);
+    CHECK(removeExpiredMissing(registry, at(1700)).empty());
+    const auto gone = removeExpiredMissing(registry, at(1000) + missingEntryGrace);
     CHECK_EQUAL(1, gone.size());
     STRCMP_EQUAL("e", gone.front().item.id.value.c_str());
     CHECK_EQUAL(1, registry.endpoints.size());
-    CHECK(dropMissing(registry, at(9000)).empty());
+    CHECK(removeExpiredMissing(registry, at(9000)).empty());
 }
 
 TEST_GROUP(Directory) {};
@@ -156,5 +156,5 @@
     CHECK(read.clockOffset == item.clockOffset);
     CHECK(read.isLeaving);
     for (const char* text : { "", "[]", "{", "7" })
-        CHECK(decodeNode({ "n" }, text).callersAddress.empty());
+        CHECK(decodeNode({ "n" }, text).clientAddress.empty());
 }
--- a/Source/Core/Gateway/Admission.cpp
+++ b/Source/Core/Gateway/Admission.cpp
@@ -47,7 +47,7 @@
         const Common::instant end = *state.leavingSince + std::chrono::duration_cast<milliseconds>(state.grace * finishShareOfGrace);
         double expected = toMs(assumedPlainDuration);
         if (call.facts.model)
-            expected = toMs(assumedTimeToFirstEvent) + call.facts.model->expectedOutputTokens.value_or(call.facts.model->mostOutputTokens) * assumedMsPerOutputToken;
+            expected = toMs(assumedTimeToFirstEvent) + call.facts.model->expectedOutputTokens.value_or(call.facts.model->maxOutputTokens) * assumedMsPerOutputToken;
         return expected < toMs(end - call.arrived) * maxExpectedShareOfTimeLeft;
     }
 
@@ -57,7 +57,7 @@
         if (call.route->timeout.count() > 0)
             budget = std::min(budget, call.route->timeout);
         call.deadline = call.arrived + budget;
-        call.progress.mayRetry = Catalog::mayRepeat(*call.route);
+        call.progress.mayRetry = Catalog::mayRetry(*call.route);
         call.progress.isResumable = call.route->isResumable;
         call.progress.maxEndpoints = call.route->maxEndpoints;
     }
@@ -67,7 +67,7 @@
         if (!account.allowed.countsTokens)
             return 1;
         if (call.facts.model)
-            return call.facts.model->promptTokens + call.facts.model->mostOutputTokens;
+            return call.facts.model->promptTokens + call.facts.model->maxOutputTokens;
         return static_cast<double>(account.allowed.plainTokens);
     }
 
@@ -76,7 +76,7 @@
         if (call.account.value.empty())
             return {};
         const double amount = allowanceCost(*Catalog::findAccount(*call.catalog, call.facts.key), call);
-        const Quota::grant grant = Quota::take(state.quota, call.account, amount, call.arrived);
+        const Quota::grant grant = Quota::tryConsume(state.quota, call.account, amount, call.arrived);
         if (!grant.isGranted) {
             call.refusedGrant = grant;
             return request_rejection { 429, "over_allowance", grant.retryAfter };
--- a/Source/Core/Gateway/AttemptOutcome.cpp
+++ b/Source/Core/Gateway/AttemptOutcome.cpp
@@ -38,7 +38,7 @@
         return attempt_end::Broken;
     if (current.response.hasNotRun || current.status == misdirectedStatus)
         return attempt_end::NotRun;
-    if (!current.response.isSealed)
+    if (!current.response.hasProofOfOrigin)
         return attempt_end::Broken;
     // A response that has begun can only be continued by another event stream.
     if (call.progress.hasHeadSent && !current.hasEvents)
@@ -64,20 +64,20 @@
     return Scheduling::placement_end::Abandoned;
 }
 
-attempt_seen::event versionEventOf(const proxied_call& call, attempt_end outcome, Common::instant now)
+attempt_report::event versionEventOf(const proxied_call& call, attempt_end outcome, Common::instant now)
 {
     switch (outcome) {
     case attempt_end::Answered:
-        return isLate(call, now) ? attempt_seen::event::Late : attempt_seen::event::Good;
+        return isLate(call, now) ? attempt_report::event::Late : attempt_report::event::OnTime;
     case attempt_end::Failed:
     case attempt_end::Broken:
     case attempt_end::TimedOut:
-        return attempt_seen::event::Failed;
+        return attempt_report::event::Failed;
     case attempt_end::NotSent:
     case attempt_end::NotRun:
-        return attempt_seen::event::Abandoned;
+        return attempt_report::event::Abandoned;
     }
-    return attempt_seen::event::Abandoned;
+    return attempt_report::event::Abandoned;
 }
 
 } // namespace Gateway
--- a/Source/Core/Gateway/AttemptOutcome.h
+++ b/Source/Core/Gateway/AttemptOutcome.h
@@ -27,6 +27,6 @@
 /// @param outcome of the attempt.
 /// @param now current time.
 /// @return the outcome as a rollout counts it for the endpoint's version.
-attempt_seen::event versionEventOf(const proxied_call& call, attempt_end outcome, Common::instant now);
+attempt_report::event versionEventOf(const proxied_call& call, attempt_end outcome, Common::instant now);
 
 } // namespace Gateway
--- a/Source/Core/Gateway/Call.h
+++ b/Source/Core/Gateway/Call.h
@@ -23,7 +23,7 @@
     Scheduling::placement placement;
     Common::version_name version;
     int status { 0 };
-    answer_facts response;
+    response_facts response;
     std::string body; ///< Body of a response that is not streamed.
     bool isForOtherRequest { false }; ///< The response carries the attempt id of another request.
     bool hasEvents { false }; ///< The response is a stream of server-sent events.
--- a/Source/Core/Gateway/CallLog.cpp
+++ b/Source/Core/Gateway/CallLog.cpp
@@ -34,7 +34,7 @@
     if (call.currentAttempt) {
         fields["endpoint"] = call.currentAttempt->placement.endpoint.value;
         fields["predicted_ms"] = std::llround(call.currentAttempt->placement.predictedMs);
-        fields["fresh_tokens"] = std::llround(call.currentAttempt->placement.freshTokens);
+        fields["fresh_tokens"] = std::llround(call.currentAttempt->placement.uncachedTokens);
         fields["sends"] = call.attemptCount;
     }
     if (call.facts.model)
--- a/Source/Core/Gateway/GatewayDuty.cpp
+++ b/Source/Core/Gateway/GatewayDuty.cpp
@@ -9,7 +9,7 @@
 #include "Gateway/Call.h"
 #include "Gateway/CallLog.h"
 #include "Gateway/ChannelPool.h"
-#include "Gateway/Placing.h"
+#include "Gateway/Placement.h"
 
 #include <atomic>
 #include <unordered_map>
@@ -175,7 +175,7 @@
         if (call.events.lastId)
             attemptFacts.resumeAfter = std::to_string(*call.events.lastId);
         call.currentAttempt->channel = channels.acquire(placement.address, call.route->kind == Catalog::route_kind::Idempotent);
-        reportAttemptEvent(call, attempt_seen::event::Begun);
+        reportAttemptEvent(call, attempt_report::event::Begun);
         call.currentAttempt->channel->exchange(writeRequest(call, settings.wire.writeAttempt(call.facts, attemptFacts)), connectTimeout, makeEvents(call));
     }
 
@@ -205,11 +205,11 @@
     {
         attempt& current = *call.currentAttempt;
         current.status = status;
-        current.response = settings.wire.readAnswer(headers);
+        current.response = settings.wire.readResponse(headers);
         if (current.response.load)
-            Scheduling::noteStatedLoad(state.scheduler, current.placement.endpoint, *current.response.load, clockNow());
+            Scheduling::recordReportedLoad(state.scheduler, current.placement.endpoint, *current.response.load, clockNow());
         current.isForOtherRequest = !call.facts.attemptId.empty() && !current.response.attemptId.empty() && current.response.attemptId != call.facts.attemptId;
-        const bool isTrusted = !current.isForOtherRequest && current.response.isSealed && !current.response.hasContentEncoding;
+        const bool isTrusted = !current.isForOtherRequest && current.response.hasProofOfOrigin && !current.response.hasContentEncoding;
         if (isSuccess(status) && !isTrusted)
             return false;
         current.hasEvents = isSuccess(status) && call.route->kind == Catalog::route_kind::Stream;
@@ -231,7 +231,7 @@
         if (!call.progress.hasHeadSent) {
             call.progress.hasHeadSent = true;
             call.firstByteMs = toMs(clockNow() - call.arrived);
-            call.session->beginStream(current.status, current.response.passedOn, isLeaving());
+            call.session->beginStream(current.status, current.response.forwardedHeaders, isLeaving());
         }
         call.session->streamBytes(events);
     }
@@ -244,7 +244,7 @@
             return;
         const Common::instant now = clockNow();
         if (isSuccess(current.status))
-            Scheduling::noteBegun(state.scheduler, current.placement.endpoint, current.placement.id, now);
+            Scheduling::recordFirstEvent(state.scheduler, current.placement.endpoint, current.placement.id, now);
         if (call.isUsageRecorded)
             return;
         call.isUsageRecorded = true;
@@ -267,7 +267,7 @@
     void recordAttemptEnd(proxied_call& call, attempt_end outcome)
     {
         attempt& current = *call.currentAttempt;
-        Scheduling::noteEnded(state.scheduler, current.placement.endpoint, current.placement.id, placementEndOf(outcome), clockNow());
+        Scheduling::recordEnd(state.scheduler, current.placement.endpoint, current.placement.id, placementEndOf(outcome), clockNow());
         Common::countMetric(fmt::format("filbertreel_attempts_total{{service=\"{}\",end=\"{}\"}}", call.service.value, nameOf(outcome)));
         reportAttemptEvent(call, versionEventOf(call, outcome, clockNow()));
         if (outcome == attempt_end::NotSent || outcome == attempt_end::NotRun)
@@ -276,10 +276,10 @@
             ++call.progress.endpointsRun;
     }
 
-    void reportAttemptEvent(const proxied_call& call, attempt_seen::event event) const
+    void reportAttemptEvent(const proxied_call& call, attempt_report::event event) const
     {
-        if (outlets.attemptSeen && state.versionShares.contains(call.service))
-            outlets.attemptSeen({ call.service, call.currentAttempt->version, call.route->name, event });
+        if (outlets.reportAttempt && state.versionShares.contains(call.service))
+            outlets.reportAttempt({ call.service, call.currentAttempt->version, call.route->name, event });
     }
 
     next_step decideWithinRetryBudget(proxied_call& call, attempt_end outcome)
@@ -324,7 +324,7 @@
             call.session->endStream();
         } else {
             call.firstByteMs = toMs(clockNow() - call.arrived);
-            call.session->respond(current.status, current.response.passedOn, current.body, isLeaving());
+            call.session->respond(current.status, current.response.forwardedHeaders, current.body, isLeaving());
         }
         finish(call, "answered", current.status);
     }
@@ -332,12 +332,12 @@
     void refuse(proxied_call& call, const request_rejection& rejection)
     {
         if (call.allowanceTaken > 0)
-            Quota::giveBack(state.quota, call.account, call.allowanceTaken);
+            Quota::refund(state.quota, call.account, call.allowanceTaken);
         Common::countMetric(fmt::format("filbertreel_refusals_total{{reason=\"{}\"}}", rejection.reason));
         std::optional<milliseconds> retryAfter = rejection.retryAfter;
         if (retryAfter && call.facts.timeBudget)
             retryAfter = std::min(*retryAfter, *call.facts.timeBudget / 3);
-        call.session->respond(rejection.status, settings.wire.writeOwnAnswer(call.facts, retryAfter), errorBody(rejection.reason), isLeaving());
+        call.session->respond(rejection.status, settings.wire.writeGatewayResponse(call.facts, retryAfter), errorBody(rejection.reason), isLeaving());
         finish(call, rejection.reason, rejection.status);
     }
 
@@ -350,7 +350,7 @@
 
     void fail(proxied_call& call, int status, std::string_view reason)
     {
-        call.session->respond(status, settings.wire.writeOwnAnswer(call.facts, {}), errorBody(reason), isLeaving());
+        call.session->respond(status, settings.wire.writeGatewayResponse(call.facts, {}), errorBody(reason), isLeaving());
         finish(call, reason, status);
     }
 
@@ -379,8 +379,8 @@
         proxied_call& call = *found->second;
         if (call.currentAttempt && call.currentAttempt->channel) {
             call.currentAttempt->channel->cancel();
-            Scheduling::noteEnded(state.scheduler, call.currentAttempt->placement.endpoint, call.currentAttempt->placement.id, Scheduling::placement_end::Abandoned, clockNow());
-            reportAttemptEvent(call, attempt_seen::event::Abandoned);
+            Scheduling::recordEnd(state.scheduler, call.currentAttempt->placement.endpoint, call.currentAttempt->placement.id, Scheduling::placement_end::Abandoned, clockNow());
+            reportAttemptEvent(call, attempt_report::event::Abandoned);
         }
         finish(call, "caller_gone", 0);
     }
@@ -417,7 +417,7 @@
         applyMessage(state, message, clockNow());
     }
 
-    void handle(const leave_begun& message)
+    void handle(const leave_started& message)
     {
         if (isLeaving())
             return;
--- a/Source/Core/Gateway/GatewayDuty.h
+++ b/Source/Core/Gateway/GatewayDuty.h
@@ -16,7 +16,7 @@
 /// Receivers of the duty's reports. They are called on its thread and must not block.
 struct gateway_outlets {
     std::function<void(interval_report&&)> report; ///< Called once per report interval.
-    std::function<void(attempt_seen&&)> attemptSeen; ///< Only for services with a rollout; may be empty.
+    std::function<void(attempt_report&&)> reportAttempt; ///< Only for services with a rollout; may be empty.
 };
 
 struct gateway_settings {
--- a/Source/Core/Gateway/GatewayState.cpp
+++ b/Source/Core/Gateway/GatewayState.cpp
@@ -26,10 +26,10 @@
 {
     gateway_state made;
     made.grace = facts.bounds.grace;
-    made.scheduler.here = { facts.zone, facts.region, facts.regions };
+    made.scheduler.ownLocation = { facts.zone, facts.region, facts.regions };
     made.scheduler.random = Common::random_source(seed);
     made.quota.startsEmpty = !facts.isFirstStart;
-    made.serviceRetries.rules = { facts.bounds.repeatRatio, facts.bounds.repeatSlack, facts.bounds.repeatWindow };
+    made.serviceRetries.rules = { facts.bounds.retryRatio, facts.bounds.retrySlack, facts.bounds.retryWindow };
     return made;
 }
 
@@ -38,7 +38,7 @@
     return minReportInterval * std::max<int64_t>(1, static_cast<int64_t>(state.serviceRetries.nodes / nodesPerIntervalMultiple));
 }
 
-void applyMessage(gateway_state& state, const catalog_known& message, Common::instant now)
+void applyMessage(gateway_state& state, const catalog_update& message, Common::instant now)
 {
     if (state.catalog && message.catalog->version <= state.catalog->version)
         return;
@@ -47,37 +47,37 @@
     Common::setMetric("filbertreel_catalog_version", static_cast<double>(state.catalog->version));
 }
 
-void applyMessage(gateway_state& state, const endpoints_known& message, Common::instant now)
+void applyMessage(gateway_state& state, const endpoints_update& message, Common::instant now)
 {
     for (const auto& [id, endpoint] : message.endpoints)
-        Scheduling::noteEndpoint(state.scheduler, endpoint, now);
+        Scheduling::updateEndpoint(state.scheduler, endpoint, now);
     std::vector<Common::endpoint_id> gone;
     for (const auto& [id, endpoint] : state.scheduler.endpoints) {
         if (!message.endpoints.contains(id))
             gone.push_back(id);
     }
     for (const Common::endpoint_id& id : gone)
-        Scheduling::dropEndpoint(state.scheduler, id);
+        Scheduling::removeEndpoint(state.scheduler, id);
 }
 
-void applyMessage(gateway_state& state, const peers_known& message, Common::instant now)
+void applyMessage(gateway_state& state, const peers_update& message, Common::instant now)
 {
     Quota::setPeers(state.quota, message.peers, now);
     state.serviceRetries.nodes = message.peers.size() + 1;
-    state.quota.silence = missedReports * currentReportInterval(state) + reportSlack;
+    state.quota.peerReportTimeout = missedReports * currentReportInterval(state) + reportSlack;
 }
 
-void applyMessage(gateway_state& state, const grants_heard& message, Common::instant now)
+void applyMessage(gateway_state& state, const grants_received& message, Common::instant now)
 {
-    Quota::hearReport(state.quota, message.report, now);
+    Quota::applyReport(state.quota, message.report, now);
 }
 
-void applyMessage(gateway_state& state, const version_share_known& message, Common::instant)
+void applyMessage(gateway_state& state, const version_share_update& message, Common::instant)
 {
     state.versionShares[message.service] = message;
 }
 
-void applyMessage(gateway_state& state, const leave_begun&, Common::instant now)
+void applyMessage(gateway_state& state, const leave_started&, Common::instant now)
 {
     if (!state.leavingSince)
         state.leavingSince = now;
--- a/Source/Core/Gateway/GatewayState.h
+++ b/Source/Core/Gateway/GatewayState.h
@@ -5,7 +5,7 @@
 
 #include "Fleet/NodeFacts.h"
 #include "Gateway/Messages.h"
-#include "Limits/RepeatBudget.h"
+#include "Limits/ServiceRetryBudget.h"
 #include "Scheduling/Scheduler.h"
 
 #include <map>
@@ -19,9 +19,9 @@
     milliseconds grace { 8000 }; ///< From the start of leaving to the end of the process.
     Catalog::catalog_pointer catalog; ///< Null until the first catalog is received.
     Scheduling::scheduler_state scheduler;
-    Quota::ledger quota;
+    Quota::quota_state quota;
     Limits::service_retry_budgets serviceRetries;
-    std::map<Common::service_name, version_share_known> versionShares;
+    std::map<Common::service_name, version_share_update> versionShares;
     interval_report interval; ///< Collected since the last report.
     std::optional<Common::instant> leavingSince;
 };
@@ -38,12 +38,12 @@
 /// @param state changed in place.
 /// @param message a catalog whose version is not newer than the current one is ignored.
 /// @param now current time.
-void applyMessage(gateway_state& state, const catalog_known& message, Common::instant now);
-void applyMessage(gateway_state& state, const endpoints_known& message, Common::instant now);
-void applyMessage(gateway_state& state, const peers_known& message, Common::instant now);
-void applyMessage(gateway_state& state, const grants_heard& message, Common::instant now);
-void applyMessage(gateway_state& state, const version_share_known& message, Common::instant now);
-void applyMessage(gateway_state& state, const leave_begun& message, Common::instant now);
+void applyMessage(gateway_state& state, const catalog_update& message, Common::instant now);
+void applyMessage(gateway_state& state, const endpoints_update& message, Common::instant now);
+void applyMessage(gateway_state& state, const peers_update& message, Common::instant now);
+void applyMessage(gateway_state& state, const grants_received& message, Common::instant now);
+void applyMessage(gateway_state& state, const version_share_update& message, Common::instant now);
+void applyMessage(gateway_state& state, const leave_started& message, Common::instant now);
 
 /// Ends the current report interval and starts the next.
 /// @param state its interval report is reset.
--- a/Source/Core/Gateway/Messages.h
+++ b/Source/Core/Gateway/Messages.h
@@ -5,7 +5,7 @@
 
 #include "Catalog/Catalog.h"
 #include "Common/Ids.h"
-#include "Fleet/EndpointBook.h"
+#include "Fleet/EndpointRegistry.h"
 #include "Quota/Quota.h"
 #include "Scaling/Demand.h"
 #include "Usage/Usage.h"
@@ -17,42 +17,42 @@
 namespace Gateway {
 
 /// A newer catalog is in force.
-struct catalog_known {
+struct catalog_update {
     Catalog::catalog_pointer catalog;
 };
 
 /// The complete set of known endpoints.
-struct endpoints_known {
+struct endpoints_update {
     Fleet::endpoint_map endpoints;
 };
 
 /// The other nodes that may be serving requests.
-struct peers_known {
+struct peers_update {
     std::set<Common::node_id> peers;
 };
 
 /// Another node's report of what it has granted to client accounts.
-struct grants_heard {
+struct grants_received {
     Quota::node_report report;
 };
 
 /// The share of a service's requests that goes to the version being rolled out.
-struct version_share_known {
+struct version_share_update {
     Common::service_name service;
-    Common::version_name fresh; ///< The version being rolled out.
+    Common::version_name newVersion; ///< The version being rolled out.
     uint32_t thousandths { 0 }; ///< Its share of the requests.
 };
 
 /// This node starts to leave the cluster and drains its requests.
-struct leave_begun { };
+struct leave_started { };
 
-using gateway_message = std::variant<catalog_known, endpoints_known, peers_known, grants_heard, version_share_known, leave_begun>;
+using gateway_message = std::variant<catalog_update, endpoints_update, peers_update, grants_received, version_share_update, leave_started>;
 
 /// The start or end of an attempt, from which a rollout evaluates the version.
-struct attempt_seen {
+struct attempt_report {
     enum class event {
         Begun,
-        Good, ///< A complete response within the latency target of the route.
+        OnTime, ///< A complete response within the latency target of the route.
         Failed,
         Late, ///< A complete response after the latency target.
         Abandoned, ///< Not run, or the caller disconnected: says nothing about the version.
@@ -61,7 +61,7 @@
     Common::service_name service;
     Common::version_name version;
     Common::route_name route;
-    event what { event::Begun };
+    event type { event::Begun };
 };
 
 /// Usage, demand and grants since the last report.
--- a/Source/Core/Gateway/Placing.cpp
+++ b/Source/Core/Gateway/Placement.cpp
@@ -1,12 +1,12 @@
-#include "Gateway/Placing.h"
+#include "Gateway/Placement.h"
 
 namespace Gateway {
 
 namespace {
 
-    Scheduling::work workOf(const proxied_call& call)
+    Scheduling::placement_request workOf(const proxied_call& call)
     {
-        Scheduling::work work;
+        Scheduling::placement_request work;
         work.service = call.service;
         work.model = call.facts.model;
         work.arrived = call.arrived;
@@ -22,7 +22,7 @@
         if (known == state.versionShares.end())
             return;
         const bool isSelected = Common::uniformBelow(state.scheduler.random, thousandths) < known->second.thousandths;
-        (isSelected ? limits.onlyVersion : limits.neverVersion) = known->second.fresh;
+        (isSelected ? limits.onlyVersion : limits.neverVersion) = known->second.newVersion;
     }
 
 } // namespace
@@ -44,7 +44,7 @@
 void recordDemand(gateway_state& state, const proxied_call& call)
 {
     if (call.facts.model)
-        state.interval.demand.engineMs[call.service] += Scheduling::engineMs(state.scheduler, call.service, call.currentAttempt->placement.freshTokens, *call.facts.model);
+        state.interval.demand.engineMs[call.service] += Scheduling::engineMs(state.scheduler, call.service, call.currentAttempt->placement.uncachedTokens, *call.facts.model);
 }
 
 } // namespace Gateway
--- a/Source/Core/Gateway/Tests/AdmissionTest.cpp
+++ b/Source/Core/Gateway/Tests/AdmissionTest.cpp
@@ -41,8 +41,8 @@
     facts.isFirstStart = true;
     facts.bounds.grace = milliseconds(8000);
     gateway_state state = makeGatewayState(facts, 1);
-    applyMessage(state, catalog_known { catalog }, at(0));
-    applyMessage(state, peers_known {}, at(0));
+    applyMessage(state, catalog_update { catalog }, at(0));
+    applyMessage(state, peers_update {}, at(0));
     return state;
 }
 
@@ -56,11 +56,11 @@
     return call;
 }
 
-Scheduling::model_facts makeModel(uint32_t promptTokens, uint32_t outputTokens)
+Scheduling::model_request makeModel(uint32_t promptTokens, uint32_t outputTokens)
 {
-    Scheduling::model_facts model;
+    Scheduling::model_request model;
     model.promptTokens = promptTokens;
-    model.mostOutputTokens = outputTokens;
+    model.maxOutputTokens = outputTokens;
     return model;
 }
 
@@ -134,7 +134,7 @@
 {
     struct row {
         int arrivedMs; ///< Time since the node began to leave.
-        std::optional<Scheduling::model_facts> model;
+        std::optional<Scheduling::model_request> model;
         int status;
     };
     const row rows[] = {
@@ -147,7 +147,7 @@
     };
     for (const row& item : rows) {
         gateway_state state = makeState();
-        applyMessage(state, leave_begun {}, at(0));
+        applyMessage(state, leave_started {}, at(0));
         proxied_call call = makeCall("/open/x", "", item.arrivedMs);
         call.facts.model = item.model;
         const auto refusal = admit(state, call);
--- a/Source/Core/Gateway/WireFormat.h
+++ b/Source/Core/Gateway/WireFormat.h
@@ -21,8 +21,8 @@
     std::string attemptId; ///< Chosen by the caller; a retry by the caller has a different id.
     std::string key; ///< API key of a client account. Secret: must not be logged.
     std::optional<milliseconds> timeBudget; ///< How long the caller waits, from the arrival of the request.
-    std::optional<Scheduling::model_facts> model;
-    std::vector<Http::header> passedOn; ///< Header lines forwarded to the endpoint unchanged.
+    std::optional<Scheduling::model_request> model;
+    std::vector<Http::header> forwardedHeaders; ///< Header lines forwarded to the endpoint unchanged.
 };
 
 /// What the gateway adds to the caller's header lines in an attempt.
@@ -35,14 +35,14 @@
 };
 
 /// Facts parsed from the headers of an endpoint's response.
-struct answer_facts {
+struct response_facts {
     std::string attemptId; ///< Attempt id of the request that the response belongs to; may be empty.
-    bool isSealed { false }; ///< The response carries an endpoint's proof of origin.
+    bool hasProofOfOrigin { false }; ///< The response carries an endpoint's proof of origin.
     bool hasNotRun { false }; ///< The endpoint states that it did not run the request.
-    std::optional<Scheduling::stated_load> load;
+    std::optional<Scheduling::reported_load> load;
     std::optional<milliseconds> keepAlive; ///< How long the endpoint keeps an idle connection open.
     bool hasContentEncoding { false };
-    std::vector<Http::header> passedOn; ///< Header lines forwarded to the caller unchanged.
+    std::vector<Http::header> forwardedHeaders; ///< Header lines forwarded to the caller unchanged.
 };
 
 /// Parses and writes header lines; supplied by the adapter for callers and endpoints.
@@ -50,9 +50,9 @@
     request_facts (*readRequest)(const std::vector<Http::header>& lines) { nullptr };
     /// @return all header lines of an attempt, including the forwarded ones.
     std::vector<Http::header> (*writeAttempt)(const request_facts& request, const attempt_facts& attempt) { nullptr };
-    answer_facts (*readAnswer)(const std::vector<Http::header>& lines) { nullptr };
+    response_facts (*readResponse)(const std::vector<Http::header>& lines) { nullptr };
     /// @return header lines of a response that the gateway itself generates.
-    std::vector<Http::header> (*writeOwnAnswer)(const request_facts& request, std::optional<milliseconds> retryAfter) { nullptr };
+    std::vector<Http::header> (*writeGatewayResponse)(const request_facts& request, std::optional<milliseconds> retryAfter) { nullptr };
 };
 
 } // namespace Gateway
--- a/Source/Core/Limits/RetryBudget.cpp
+++ b/Source/Core/Limits/AccountRetryBudget.cpp
@@ -1,4 +1,4 @@
-#include "Limits/RetryBudget.h"
+#include "Limits/AccountRetryBudget.h"
 
 #include <algorithm>
 
--- a/Source/Core/Limits/Admission.cpp
+++ b/Source/Core/Limits/Admission.cpp
@@ -45,7 +45,7 @@
 
 } // namespace
 
-std::optional<Common::failure> refuse(const admission_state& state, const Configuration::configuration& config,
+std::optional<Common::failure> checkAdmission(const admission_state& state, const Configuration::configuration& config,
     const Common::account_id& account, const Configuration::class_of_work& work, const predicted_service& predicted)
 {
     using Common::failure;
@@ -60,18 +60,18 @@
         return failure { failure_kind::AccountLimit, account.value, run_state::NotRun, minRetrySeconds };
     const auto target = work.kind == Configuration::class_kind::Model ? work.firstTokenTarget : work.answerTarget;
     const double limit = std::chrono::duration<double>(target).count() * toleratedTargetFactor;
-    if (state.settings.refusesLate && !predicted.meetsTarget && predicted.firstTokenSeconds > limit)
+    if (state.settings.rejectsLate && !predicted.meetsTarget && predicted.firstTokenSeconds > limit)
         return failure { failure_kind::Overloaded, work.name.value, run_state::NotRun, retryAfter(predicted.firstTokenSeconds - limit) };
     return std::nullopt;
 }
 
-void noteAdmitted(admission_state& state, const Common::account_id& account)
+void recordAdmitted(admission_state& state, const Common::account_id& account)
 {
     state.inFlight += 1;
     state.inFlightByAccount[account] += 1;
 }
 
-void noteReleased(admission_state& state, const Common::account_id& account)
+void recordEnded(admission_state& state, const Common::account_id& account)
 {
     state.inFlight -= 1;
     const auto found = state.inFlightByAccount.find(account);
--- a/Source/Core/Limits/RepeatBudget.cpp
+++ b/Source/Core/Limits/ServiceRetryBudget.cpp
@@ -1,4 +1,4 @@
-#include "Limits/RepeatBudget.h"
+#include "Limits/ServiceRetryBudget.h"
 
 #include <algorithm>
 
--- a/Source/Core/Limits/Tests/AdmissionTest.cpp
+++ b/Source/Core/Limits/Tests/AdmissionTest.cpp
@@ -2,7 +2,7 @@
 /// Admission of requests, and retry budgets of accounts.
 
 #include "Limits/Admission.h"
-#include "Limits/RetryBudget.h"
+#include "Limits/AccountRetryBudget.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -46,7 +46,7 @@
         admission_state state;
         state.settings.maxInFlight = 100;
         state.inFlight = item.inFlight;
-        const auto refusal = refuse(state, config, { "large" }, {}, item.predicted);
+        const auto refusal = checkAdmission(state, config, { "large" }, {}, item.predicted);
         CHECK_EQUAL(item.isRefused, refusal.has_value());
         if (!refusal)
             continue;
@@ -61,17 +61,17 @@
     const auto config = makeConfiguration();
     admission_state state;
     state.settings.maxInFlight = 100;
-    noteAdmitted(state, { "small" });
+    recordAdmitted(state, { "small" });
     const predicted_service prediction { true, true, 0.1 };
     int admitted = 0;
     for (int round = 0; round < 1000; ++round) {
-        if (refuse(state, config, { "large" }, {}, prediction))
+        if (checkAdmission(state, config, { "large" }, {}, prediction))
             continue;
-        noteAdmitted(state, { "large" });
+        recordAdmitted(state, { "large" });
         ++admitted;
     }
     LONGS_EQUAL(50, admitted);
-    CHECK(!refuse(state, config, { "small" }, {}, prediction));
+    CHECK(!checkAdmission(state, config, { "small" }, {}, prediction));
 }
 
 TEST(Admission, RetriesAreABoundedShareOfFirstAttempts)
--- a/Source/Core/Limits/Tests/RepeatBudgetTest.cpp
+++ b/Source/Core/Limits/Tests/ServiceRetryBudgetTest.cpp
@@ -1,7 +1,7 @@
 /// @file
 /// Limits on the retries of a service, over a sliding window and over all nodes.
 
-#include "Limits/RepeatBudget.h"
+#include "Limits/ServiceRetryBudget.h"
 
 #include <CppUTest/TestHarness.h>
 
--- a/Source/Core/Membership/Members.cpp
+++ b/Source/Core/Membership/Members.cpp
@@ -103,7 +103,7 @@
         output.push_back(send_probe { address, ++state.lastSequence, digestMembers(state), state.configuration, false });
     }
 
-    void compareDigest(membership_state& state, const probe_heard& message, actions& output)
+    void compareDigest(membership_state& state, const probe_received& message, actions& output)
     {
         const auto link = state.links.find(message.from);
         if (link == state.links.end())
@@ -120,14 +120,14 @@
         output.push_back(send_facts { message.fromAddress, fullTable(state) });
     }
 
-    void handle(membership_state& state, probe_heard&& message, Common::instant now, actions& output)
+    void handle(membership_state& state, probe_received&& message, Common::instant now, actions& output)
     {
         const auto known = state.members.find(message.from);
         const bool isUnknownOrOutdated = known == state.members.end() || known->second.status == member_status::Dead
             || known->second.incarnation < message.incarnation;
         const auto link = state.links.find(message.from);
         if (link != state.links.end())
-            link->second.lastHeard = now;
+            link->second.lastReceivedAt = now;
         if (!message.isReply)
             output.push_back(send_probe { message.fromAddress, message.sequence, digestMembers(state), state.configuration, true });
         // A node that was declared dead finds this in the table and refutes it. A new node gets the members from it.
@@ -140,7 +140,7 @@
             output.push_back(newer_configuration_seen { message.configuration });
     }
 
-    void handle(membership_state& state, facts_heard&& message, Common::instant now, actions& output)
+    void handle(membership_state& state, member_records_received&& message, Common::instant now, actions& output)
     {
         applyFacts(state, message.members, message.from, now, output);
     }
@@ -150,17 +150,17 @@
         output.push_back(send_facts { message.fromAddress, fullTable(state) });
     }
 
-    void handle(membership_state& state, seeds_known&& message, Common::instant, actions&)
+    void handle(membership_state& state, seeds_changed&& message, Common::instant, actions&)
     {
         state.seeds = std::move(message.peerAddresses);
     }
 
-    void handle(membership_state& state, configuration_moved&& message, Common::instant, actions&)
+    void handle(membership_state& state, configuration_changed&& message, Common::instant, actions&)
     {
         state.configuration = message.version;
     }
 
-    void handle(membership_state& state, leave_begun&&, Common::instant, actions& output)
+    void handle(membership_state& state, leave_started&&, Common::instant, actions& output)
     {
         state.self.status = member_status::Leaving;
         forwardToLinks(state, { state.self }, {}, output);
@@ -182,7 +182,7 @@
         if (!wasPaused)
             return;
         for (auto& [id, link] : state.links)
-            link.lastHeard = now;
+            link.lastReceivedAt = now;
         for (auto& [id, since] : state.statusSince)
             since = now;
     }
@@ -193,7 +193,7 @@
         std::vector<member> changed;
         for (const auto& [id, link] : state.links) {
             const member& item = state.members.at(id);
-            const bool isSilent = now - link.lastHeard >= scaleByMembers(state, state.settings.suspectAfter);
+            const bool isSilent = now - link.lastReceivedAt >= scaleByMembers(state, state.settings.suspectAfter);
             if (!isSilent || item.status == member_status::Suspect || item.status == member_status::Dead)
                 continue;
             member suspect = item;
--- a/Source/Core/Membership/Members.h
+++ b/Source/Core/Membership/Members.h
@@ -16,7 +16,7 @@
 namespace Membership {
 
 /// A probe from another node, or its reply to a probe.
-struct probe_heard {
+struct probe_received {
     Common::node_id from;
     std::string fromAddress;
     Common::incarnation_number incarnation;
@@ -27,7 +27,7 @@
 };
 
 /// Member records from a peer.
-struct facts_heard {
+struct member_records_received {
     Common::node_id from;
     std::vector<member> members;
 };
@@ -38,22 +38,22 @@
 };
 
 /// Peer addresses from the settings or the cloud's list, which are probed while this node is linked to no member.
-struct seeds_known {
+struct seeds_changed {
     std::vector<std::string> peerAddresses;
 };
 
 /// This node applied another version of the configuration.
-struct configuration_moved {
+struct configuration_changed {
     Common::config_version version;
 };
 
 /// This node starts to leave the fleet.
-struct leave_begun { };
+struct leave_started { };
 
 /// Sent at short, regular intervals; times out silent peers and starts the probes that are due.
 struct membership_tick { };
 
-using membership_message = std::variant<probe_heard, facts_heard, pull_requested, seeds_known, configuration_moved, leave_begun, membership_tick>;
+using membership_message = std::variant<probe_received, member_records_received, pull_requested, seeds_changed, configuration_changed, leave_started, membership_tick>;
 
 struct send_probe {
     std::string address;
@@ -100,7 +100,7 @@
 
 /// A peer that this node probes.
 struct peer_link {
-    Common::instant lastHeard;
+    Common::instant lastReceivedAt;
     uint32_t mismatches { 0 }; ///< Consecutive probes or replies with another digest.
 };
 
--- a/Source/Core/Membership/PeerCodec.cpp
+++ b/Source/Core/Membership/PeerCodec.cpp
@@ -44,9 +44,9 @@
         fill(message.mutable_probe());
 }
 
-probe_heard decodeProbe(const filbertreel::peer::envelope& message)
+probe_received decodeProbe(const filbertreel::peer::envelope& message)
 {
-    probe_heard received;
+    probe_received received;
     received.from = { message.sender() };
     received.fromAddress = message.sender_address();
     received.incarnation = { message.incarnation() };
@@ -63,9 +63,9 @@
     return received;
 }
 
-facts_heard decodeFacts(const filbertreel::peer::envelope& message)
+member_records_received decodeFacts(const filbertreel::peer::envelope& message)
 {
-    facts_heard received { { message.sender() }, {} };
+    member_records_received received { { message.sender() }, {} };
     for (const auto& record : message.member_facts().members())
         received.members.push_back(decodeMember(record));
     return received;
@@ -111,9 +111,9 @@
     }
 }
 
-std::vector<Endpoints::load_heard> decodeLoads(const filbertreel::peer::load_digest& record)
+std::vector<Endpoints::load_received> decodeLoads(const filbertreel::peer::load_digest& record)
 {
-    std::vector<Endpoints::load_heard> received;
+    std::vector<Endpoints::load_received> received;
     received.reserve(static_cast<size_t>(record.loads_size()));
     for (const auto& load : record.loads())
         received.push_back({ { { load.endpoint() }, load.running(), load.waiting(), false } });
@@ -143,17 +143,17 @@
     return item;
 }
 
-void encodeEvidence(const Rollout::tell_evidence& item, filbertreel::peer::rollout_evidence& record)
+void encodeEvidence(const Rollout::broadcast_evidence& item, filbertreel::peer::rollout_evidence& record)
 {
     record.set_service(item.key.service);
     record.set_version(item.key.version.value);
     for (const auto& [work, counts] : item.counts) {
         auto* row = record.add_classes();
         row->set_class_name(work.value);
-        row->set_fresh_begun(counts.fresh.begun);
-        row->set_fresh_ended(counts.fresh.ended);
-        row->set_fresh_failed(counts.fresh.failed);
-        row->set_fresh_late(counts.fresh.late);
+        row->set_fresh_begun(counts.candidate.begun);
+        row->set_fresh_ended(counts.candidate.ended);
+        row->set_fresh_failed(counts.candidate.failed);
+        row->set_fresh_late(counts.candidate.late);
         row->set_previous_begun(counts.previous.begun);
         row->set_previous_ended(counts.previous.ended);
         row->set_previous_failed(counts.previous.failed);
@@ -166,7 +166,7 @@
     Rollout::peer_evidence item { node, { record.service(), { record.version() } }, {} };
     for (const auto& row : record.classes()) {
         Rollout::comparison& counts = item.counts[{ row.class_name() }];
-        counts.fresh = { row.fresh_begun(), row.fresh_ended(), row.fresh_failed(), row.fresh_late() };
+        counts.candidate = { row.fresh_begun(), row.fresh_ended(), row.fresh_failed(), row.fresh_late() };
         counts.previous = { row.previous_begun(), row.previous_ended(), row.previous_failed(), row.previous_late() };
     }
     return item;
--- a/Source/Core/Membership/PeerCodec.h
+++ b/Source/Core/Membership/PeerCodec.h
@@ -34,10 +34,10 @@
 void encodeProbe(const send_probe& action, filbertreel::peer::envelope& message);
 /// @param message an envelope with a probe or a reply.
 /// @return the probe or reply, with its sender.
-probe_heard decodeProbe(const filbertreel::peer::envelope& message);
+probe_received decodeProbe(const filbertreel::peer::envelope& message);
 /// @param message an envelope with member records.
 /// @return the records, with their sender.
-facts_heard decodeFacts(const filbertreel::peer::envelope& message);
+member_records_received decodeFacts(const filbertreel::peer::envelope& message);
 
 /// @param changes successive changes of the configuration.
 /// @param record the changes are appended to it.
@@ -54,7 +54,7 @@
 void encodeLoads(const std::vector<Endpoints::load_report>& reports, filbertreel::peer::load_digest& record);
 /// @param record reports as received.
 /// @return the reports.
-std::vector<Endpoints::load_heard> decodeLoads(const filbertreel::peer::load_digest& record);
+std::vector<Endpoints::load_received> decodeLoads(const filbertreel::peer::load_digest& record);
 
 /// @param item a request in progress.
 /// @param record receives the encoded request.
@@ -65,7 +65,7 @@
 
 /// @param item this node's evidence on a rollout.
 /// @param record receives the encoded evidence.
-void encodeEvidence(const Rollout::tell_evidence& item, filbertreel::peer::rollout_evidence& record);
+void encodeEvidence(const Rollout::broadcast_evidence& item, filbertreel::peer::rollout_evidence& record);
 /// @param node the peer that counted.
 /// @param record its evidence as received.
 /// @return the evidence.
--- a/Source/Core/Membership/PeerDuty.cpp
+++ b/Source/Core/Membership/PeerDuty.cpp
@@ -105,7 +105,7 @@
 
     void perform(const newer_configuration_seen& action)
     {
-        outlets.tellConfiguration(Configuration::peer_is_ahead { action.version });
+        outlets.sendToConfiguration(Configuration::peer_is_ahead { action.version });
     }
 
     void perform(const member_changed& action)
@@ -115,16 +115,16 @@
 
     // Messages from other duties.
 
-    void handle(seeds_known&& message)
+    void handle(seeds_changed&& message)
     {
         for (const std::string& address : settings.seeds)
             message.peerAddresses.push_back(address);
         step(std::move(message));
     }
 
-    void handle(configuration_moved&& message) { step(message); }
+    void handle(configuration_changed&& message) { step(message); }
 
-    void handle(leave_begun&& message) { step(message); }
+    void handle(leave_started&& message) { step(message); }
 
     void handle(push_changes&& message)
     {
@@ -145,7 +145,7 @@
             sendTo(links[pullCount++ % links.size()], outgoing);
     }
 
-    void handle(give_changes&& message)
+    void handle(reply_changes&& message)
     {
         envelope outgoing;
         auto* changes = outgoing.mutable_configuration_changes();
@@ -155,7 +155,7 @@
         sendTo(message.reply.peer, outgoing);
     }
 
-    void handle(push_leaving&& message)
+    void handle(push_endpoint_leaving&& message)
     {
         envelope outgoing;
         outgoing.mutable_endpoint_leaving()->set_endpoint(message.endpoint.value);
@@ -170,7 +170,7 @@
         sendToLinks(outgoing);
     }
 
-    void handle(give_loads&& message)
+    void handle(send_loads&& message)
     {
         envelope outgoing;
         encodeLoads(message.reports, *outgoing.mutable_load_digest());
@@ -184,7 +184,7 @@
         sendToAllAlive(outgoing);
     }
 
-    void handle(push_latch&& message)
+    void handle(push_bad_version&& message)
     {
         envelope outgoing;
         outgoing.mutable_rollout_latch()->set_service(message.latch.key.service);
@@ -218,7 +218,7 @@
             sendTo(links[pullCount++ % links.size()], outgoing);
     }
 
-    void handle(give_catalog&& message)
+    void handle(reply_catalog&& message)
     {
         envelope outgoing;
         outgoing.mutable_catalog_text()->set_version(message.version);
@@ -226,7 +226,7 @@
         sendTo(message.peer, outgoing);
     }
 
-    void handle(place_transfer&& message)
+    void handle(offer_transfer&& message)
     {
         // A repeated offer of a request goes to another peer than the previous one.
         const size_t rank = offeredTransfers++ % transferRanks;
@@ -272,23 +272,23 @@
     void handleChanges(const filbertreel::peer::configuration_changes& body)
     {
         if (auto snapshot = decodeSnapshot(body))
-            outlets.tellConfiguration(std::move(*snapshot));
+            outlets.sendToConfiguration(std::move(*snapshot));
         Configuration::peer_changes received = decodeChanges(body);
         if (!received.changes.empty())
-            outlets.tellConfiguration(std::move(received));
+            outlets.sendToConfiguration(std::move(received));
     }
 
     void handleLoads(const filbertreel::peer::load_digest& body)
     {
-        for (Endpoints::load_heard& received : decodeLoads(body))
-            outlets.tellEndpoints(std::move(received));
+        for (Endpoints::load_received& received : decodeLoads(body))
+            outlets.sendToEndpoints(std::move(received));
     }
 
     void handleInstances(const filbertreel::peer::instances_seen& body)
     {
         auto instances = Endpoints::parseInstances(body.list_json());
         if (instances)
-            outlets.tellEndpoints(Endpoints::instances_heard { std::move(*instances) });
+            outlets.sendToEndpoints(Endpoints::instances_received { std::move(*instances) });
     }
 
     void handleEnvelope(const envelope& message)
@@ -305,34 +305,34 @@
         case envelope::kConfigurationChanges:
             return handleChanges(message.configuration_changes());
         case envelope::kConfigurationPull:
-            return outlets.tellConfiguration(Configuration::peer_pull { sender, { message.configuration_pull().after_version() } });
+            return outlets.sendToConfiguration(Configuration::peer_pull { sender, { message.configuration_pull().after_version() } });
         case envelope::kEndpointLeaving:
             if (message.endpoint_leaving().started_ms() != 0)
-                return outlets.startLeavingHeard({ message.endpoint_leaving().endpoint() }, message.endpoint_leaving().started_ms());
-            return outlets.tellEndpoints(Endpoints::leaving_notice { { message.endpoint_leaving().endpoint() }, Endpoints::leaving_source::Peer });
+                return outlets.startLeavingReceived({ message.endpoint_leaving().endpoint() }, message.endpoint_leaving().started_ms());
+            return outlets.sendToEndpoints(Endpoints::leaving_notice { { message.endpoint_leaving().endpoint() }, Endpoints::leaving_source::Peer });
         case envelope::kLoadDigest:
             return handleLoads(message.load_digest());
         case envelope::kRolloutEvidence:
-            return outlets.tellRollout(decodeEvidence(sender, message.rollout_evidence()));
+            return outlets.sendToRollout(decodeEvidence(sender, message.rollout_evidence()));
         case envelope::kRolloutLatch:
-            return outlets.tellRollout(Rollout::peer_latch { { message.rollout_latch().service(), { message.rollout_latch().version() } }, message.rollout_latch().cause() });
+            return outlets.sendToRollout(Rollout::peer_latch { { message.rollout_latch().service(), { message.rollout_latch().version() } }, message.rollout_latch().cause() });
         case envelope::kInstancesSeen:
             return handleInstances(message.instances_seen());
         case envelope::kRequestHandover:
-            return outlets.tellDispatch(Dispatch::transfer_offered { sender, decodeTransfer(message.request_handover()) });
+            return outlets.sendToDispatch(Dispatch::transfer_offered { sender, decodeTransfer(message.request_handover()) });
         case envelope::kHandoverReply:
-            return outlets.tellDispatch(Dispatch::transfer_taken { { message.handover_reply().request() }, message.handover_reply().http_address() });
+            return outlets.sendToDispatch(Dispatch::transfer_accepted { { message.handover_reply().request() }, message.handover_reply().http_address() });
         case envelope::kRequestQuery:
-            return outlets.tellDispatch(Dispatch::holder_query { { message.request_query().request() }, sender });
+            return outlets.sendToDispatch(Dispatch::holder_query { { message.request_query().request() }, sender });
         case envelope::kRequestLocation:
-            return outlets.located({ message.request_location().request() }, message.request_location().http_address());
+            return outlets.holderLocated({ message.request_location().request() }, message.request_location().http_address());
         case envelope::kGrantReport:
-            outlets.grantsHeard(decodeGrants(sender, { message.incarnation() }, message.grant_report()));
-            return outlets.demandHeard(decodeDemand(sender, message.grant_report()));
+            outlets.grantsReceived(decodeGrants(sender, { message.incarnation() }, message.grant_report()));
+            return outlets.demandReceived(decodeDemand(sender, message.grant_report()));
         case envelope::kCatalogPull:
-            return outlets.catalogAsked(sender, message.catalog_pull().after_version());
+            return outlets.catalogRequested(sender, message.catalog_pull().after_version());
         case envelope::kCatalogText:
-            return outlets.catalogHeard(message.catalog_text().version(), std::string(message.catalog_text().text()));
+            return outlets.catalogReceived(message.catalog_text().version(), std::string(message.catalog_text().text()));
         case envelope::BODY_NOT_SET:
             return;
         }
--- a/Source/Core/Membership/PeerDuty.h
+++ b/Source/Core/Membership/PeerDuty.h
@@ -29,12 +29,12 @@
 };
 
 /// Reply to a peer that requested changes.
-struct give_changes {
+struct reply_changes {
     Configuration::answer_peer reply;
 };
 
 /// Notify the linked peers that an endpoint is leaving.
-struct push_leaving {
+struct push_endpoint_leaving {
     Common::endpoint_id endpoint;
     int64_t startedMs { 0 }; ///< Unix time of the endpoint's start; zero if starts aren't distinguished.
 };
@@ -51,7 +51,7 @@
 };
 
 /// Send a peer the operators' catalog as the platform's text.
-struct give_catalog {
+struct reply_catalog {
     Common::node_id peer;
     uint64_t version { 0 };
     std::string text;
@@ -63,23 +63,23 @@
 };
 
 /// Send a peer the load of endpoints that it routes to.
-struct give_loads {
+struct send_loads {
     Common::node_id peer;
     std::vector<Endpoints::load_report> reports;
 };
 
 /// Send all peers this node's evidence on a rollout.
 struct push_evidence {
-    Rollout::tell_evidence evidence;
+    Rollout::broadcast_evidence evidence;
 };
 
 /// Notify the linked peers that a version of a service was found bad.
-struct push_latch {
-    Rollout::tell_latch latch;
+struct push_bad_version {
+    Rollout::broadcast_latch latch;
 };
 
 /// Offer a request to a peer, which may take it over.
-struct place_transfer {
+struct offer_transfer {
     Dispatch::request_transfer item;
 };
 
@@ -100,25 +100,25 @@
     Common::request_id request;
 };
 
-using peer_message = std::variant<seeds_known, configuration_moved, leave_begun, push_changes, pull_changes, give_changes,
-    push_leaving, push_instances, give_loads, push_evidence, push_latch, place_transfer, confirm_transfer, find_holder, confirm_holder, push_grants, pull_catalog, give_catalog>;
+using peer_message = std::variant<seeds_changed, configuration_changed, leave_started, push_changes, pull_changes, reply_changes,
+    push_endpoint_leaving, push_instances, send_loads, push_evidence, push_bad_version, offer_transfer, confirm_transfer, find_holder, confirm_holder, push_grants, pull_catalog, reply_catalog>;
 
 /// Callbacks for what the duty receives and finds. They run on the duty's thread and must not block.
 struct peer_outlets {
     std::function<void(const member_map&)> publishMembers;
-    std::function<void(Configuration::chain_message&&)> tellConfiguration;
-    std::function<void(Endpoints::table_message&&)> tellEndpoints;
-    std::function<void(Rollout::rollout_message&&)> tellRollout;
-    std::function<void(Dispatch::dispatch_message&&)> tellDispatch;
+    std::function<void(Configuration::chain_message&&)> sendToConfiguration;
+    std::function<void(Endpoints::table_message&&)> sendToEndpoints;
+    std::function<void(Rollout::rollout_message&&)> sendToRollout;
+    std::function<void(Dispatch::dispatch_message&&)> sendToDispatch;
     /// A peer replied to find_holder that it holds the request.
-    std::function<void(const Common::request_id&, const std::string& httpAddress)> located;
-    std::function<void(Quota::node_report&&)> grantsHeard;
-    std::function<void(Scaling::node_demand&&)> demandHeard;
+    std::function<void(const Common::request_id&, const std::string& httpAddress)> holderLocated;
+    std::function<void(Quota::node_report&&)> grantsReceived;
+    std::function<void(Scaling::node_demand&&)> demandReceived;
     /// An endpoint is leaving that was started at the given Unix time in milliseconds.
-    std::function<void(const Common::endpoint_id&, int64_t startedMs)> startLeavingHeard;
+    std::function<void(const Common::endpoint_id&, int64_t startedMs)> startLeavingReceived;
     /// A peer requests the catalog if it is later than the given version.
-    std::function<void(const Common::node_id& peer, uint64_t after)> catalogAsked;
-    std::function<void(uint64_t version, std::string&& text)> catalogHeard;
+    std::function<void(const Common::node_id& peer, uint64_t after)> catalogRequested;
+    std::function<void(uint64_t version, std::string&& text)> catalogReceived;
 };
 
 struct peer_settings {
--- a/Source/Core/Membership/Tests/MembersTest.cpp
+++ b/Source/Core/Membership/Tests/MembersTest.cpp
@@ -32,7 +32,7 @@
     std::vector<member> facts;
     for (size_t index = 0; index < peers; ++index)
         facts.push_back(makeMember("peer" + std::to_string(index)));
-    stepMembership(state, facts_heard { { "peer0" }, facts }, testStart);
+    stepMembership(state, member_records_received { { "peer0" }, facts }, testStart);
     return state;
 }
 
@@ -156,8 +156,8 @@
     for (const row& item : rows) {
         membership_state state;
         state.self = makeMember("self");
-        stepMembership(state, facts_heard { { "x" }, { makeMember("peer", item.known, item.knownIncarnation) } }, testStart);
-        stepMembership(state, facts_heard { { "x" }, { makeMember("peer", item.received, item.receivedIncarnation) } }, testStart);
+        stepMembership(state, member_records_received { { "x" }, { makeMember("peer", item.known, item.knownIncarnation) } }, testStart);
+        stepMembership(state, member_records_received { { "x" }, { makeMember("peer", item.received, item.receivedIncarnation) } }, testStart);
         CHECK(item.expected == state.members.at({ "peer" }).status);
     }
 }
@@ -191,7 +191,7 @@
     const row rows[] = { { member_status::Dead, true }, { member_status::Suspect, true }, { member_status::Alive, false } };
     for (const row& item : rows) {
         membership_state state = makeState(2);
-        const auto actions = stepMembership(state, facts_heard { { "peer0" }, { makeMember("self", item.claim) } }, testStart);
+        const auto actions = stepMembership(state, member_records_received { { "peer0" }, { makeMember("self", item.claim) } }, testStart);
         LONGS_EQUAL(item.isRefuted ? 2 : 1, state.self.incarnation.value);
         CHECK_EQUAL(item.isRefuted, count<send_facts>(actions) > 0);
     }
@@ -201,21 +201,21 @@
 {
     membership_state state = makeState(2);
     const member joined = makeMember("newcomer");
-    const auto first = stepMembership(state, facts_heard { { "peer0" }, { joined } }, testStart);
+    const auto first = stepMembership(state, member_records_received { { "peer0" }, { joined } }, testStart);
     CHECK(count<send_facts>(first) >= 1);
     for (const membership_action& action : first) {
         if (const auto* sent = std::get_if<send_facts>(&action))
             CHECK(sent->address != "peer0-address");
     }
-    const auto second = stepMembership(state, facts_heard { { "peer1" }, { joined } }, testStart);
+    const auto second = stepMembership(state, member_records_received { { "peer1" }, { joined } }, testStart);
     LONGS_EQUAL(0, count<send_facts>(second));
 }
 
 TEST(Members, ProbeFromANodeDeclaredDeadIsAnsweredWithTheMemberTable)
 {
     membership_state state = makeState(2);
-    stepMembership(state, facts_heard { { "peer1" }, { makeMember("peer0", member_status::Dead) } }, testStart);
-    probe_heard probe;
+    stepMembership(state, member_records_received { { "peer1" }, { makeMember("peer0", member_status::Dead) } }, testStart);
+    probe_received probe;
     probe.from = { "peer0" };
     probe.fromAddress = "peer0-address";
     probe.incarnation = { 1 };
@@ -226,7 +226,7 @@
 TEST(Members, DeadMemberIsProbedSoThatTheEndOfAPartitionIsDetected)
 {
     membership_state state = makeState(1);
-    stepMembership(state, facts_heard { { "x" }, { makeMember("peer0", member_status::Dead) } }, testStart);
+    stepMembership(state, member_records_received { { "x" }, { makeMember("peer0", member_status::Dead) } }, testStart);
     const auto actions = stepMembership(state, membership_tick {}, testStart);
     LONGS_EQUAL(1, count<send_probe>(actions));
 }
--- a/Source/Core/Quota/Quota.cpp
+++ b/Source/Core/Quota/Quota.cpp
@@ -20,23 +20,23 @@
         return std::chrono::duration<double>(time).count();
     }
 
-    double nodeCount(const ledger& state)
+    double nodeCount(const quota_state& state)
     {
         return static_cast<double>(state.peers.size() + 1);
     }
 
-    size_t countSilentPeers(const ledger& state, Common::instant now)
+    size_t countSilentPeers(const quota_state& state, Common::instant now)
     {
         size_t silent = 0;
         for (const auto& [id, peer] : state.peers) {
-            if (now - peer.lastReportAt > state.silence)
+            if (now - peer.lastReportAt > state.peerReportTimeout)
                 ++silent;
         }
         return silent;
     }
 
     /// Refills by the rate, less an equal share for each silent peer: it may still grant that much.
-    void refill(const ledger& state, account_bucket& bucket, Common::instant now)
+    void refill(const quota_state& state, account_bucket& bucket, Common::instant now)
     {
         const double seconds = std::max(0.0, toSeconds(now - bucket.refilledAt));
         bucket.refilledAt = now;
@@ -46,7 +46,7 @@
     }
 
     /// @return the part of the level that this node may grant, 0 to 1, in proportion to its share of the demand.
-    double ownShare(const ledger& state, const account_bucket& bucket)
+    double ownShare(const quota_state& state, const account_bucket& bucket)
     {
         double othersDemand = 0;
         for (const auto& [id, peer] : bucket.peers)
@@ -58,7 +58,7 @@
         return std::max(minShareOfEqual * equalShare, ownDemand / (ownDemand + othersDemand));
     }
 
-    bool isWithinAllowance(const ledger& state, const account_bucket& bucket, double amount)
+    bool isWithinAllowance(const quota_state& state, const account_bucket& bucket, double amount)
     {
         if (bucket.level <= 0)
             return false;
@@ -79,7 +79,7 @@
 
 } // namespace
 
-void setAllowances(ledger& state, const Catalog::catalog& item, Common::instant now)
+void setAllowances(quota_state& state, const Catalog::catalog& item, Common::instant now)
 {
     std::set<Common::account_id> present;
     for (const Catalog::account& account : item.accounts) {
@@ -98,7 +98,7 @@
     std::erase_if(state.accounts, [&present](const auto& entry) { return !present.contains(entry.first); });
 }
 
-void setPeers(ledger& state, const std::set<Common::node_id>& peers, Common::instant now)
+void setPeers(quota_state& state, const std::set<Common::node_id>& peers, Common::instant now)
 {
     for (const Common::node_id& id : peers)
         state.peers.try_emplace(id, peer_state { {}, now });
@@ -107,7 +107,7 @@
         std::erase_if(bucket.peers, [&peers](const auto& entry) { return !peers.contains(entry.first); });
 }
 
-grant take(ledger& state, const Common::account_id& account, double amount, Common::instant now)
+grant tryConsume(quota_state& state, const Common::account_id& account, double amount, Common::instant now)
 {
     const auto found = state.accounts.find(account);
     if (found == state.accounts.end() || found->second.allowed.perSecond <= 0)
@@ -123,7 +123,7 @@
     return {};
 }
 
-void giveBack(ledger& state, const Common::account_id& account, double amount)
+void refund(quota_state& state, const Common::account_id& account, double amount)
 {
     const auto found = state.accounts.find(account);
     if (found == state.accounts.end())
@@ -134,7 +134,7 @@
     bucket.grantedSinceReport = std::max(0.0, bucket.grantedSinceReport - amount);
 }
 
-node_report makeReport(ledger& state, Common::instant now)
+node_report makeReport(quota_state& state, Common::instant now)
 {
     const double seconds = std::max(0.001, toSeconds(now - state.reportedAt));
     state.reportedAt = now;
@@ -149,7 +149,7 @@
     return report;
 }
 
-void hearReport(ledger& state, const node_report& report, Common::instant now)
+void applyReport(quota_state& state, const node_report& report, Common::instant now)
 {
     const auto peer = state.peers.find(report.node);
     if (peer == state.peers.end())
@@ -157,7 +157,7 @@
     const bool isFirst = peer->second.incarnation.value == 0;
     const bool isRestarted = !isFirst && peer->second.incarnation != report.incarnation;
     // While the peer was silent, refill() already deducted an equal share for it.
-    const bool wasSilent = now - peer->second.lastReportAt > state.silence;
+    const bool wasSilent = now - peer->second.lastReportAt > state.peerReportTimeout;
     peer->second = { report.incarnation, now };
     for (const granted_total& item : report.accounts) {
         const auto found = state.accounts.find(item.account);
--- a/Source/Core/Quota/Quota.h
+++ b/Source/Core/Quota/Quota.h
@@ -53,20 +53,20 @@
 };
 
 /// The buckets of all accounts as this node estimates them, and the peers that share them.
-struct ledger {
+struct quota_state {
     std::map<Common::account_id, account_bucket> accounts;
     std::map<Common::node_id, peer_state> peers; ///< The other nodes that may currently grant.
     Common::instant reportedAt; ///< Time of this node's last report.
     /// A peer without a report for longer is assumed to grant its equal share (1 / number of nodes), until its next
     /// report or until setPeers() drops it.
-    milliseconds silence { 900 };
+    milliseconds peerReportTimeout { 900 };
     bool startsEmpty { false }; ///< New buckets start at zero, as the burst may have been used up before a restart.
 };
 
 /// Applies the allowances of a catalog and removes the buckets of accounts that it doesn't list.
-void setAllowances(ledger& state, const Catalog::catalog& item, Common::instant now);
+void setAllowances(quota_state& state, const Catalog::catalog& item, Common::instant now);
 /// Sets the other nodes that may currently grant.
-void setPeers(ledger& state, const std::set<Common::node_id>& peers, Common::instant now);
+void setPeers(quota_state& state, const std::set<Common::node_id>& peers, Common::instant now);
 
 struct grant {
     bool isGranted { true };
@@ -81,20 +81,20 @@
 /// @param amount in the unit of the account's allowance.
 /// @param now the current time.
 /// @return whether the request was granted, and when to retry it if not.
-grant take(ledger& state, const Common::account_id& account, double amount, Common::instant now);
+grant tryConsume(quota_state& state, const Common::account_id& account, double amount, Common::instant now);
 
 /// Refunds a grant whose request is proven not to have run.
 /// @param amount in the unit of the account's allowance.
-void giveBack(ledger& state, const Common::account_id& account, double amount);
+void refund(quota_state& state, const Common::account_id& account, double amount);
 
 /// Makes the periodic report to the other nodes and updates the demand averages.
 /// @param state the buckets; a new report interval starts.
 /// @param now the current time.
 /// @return the grants and demand of all accounts; the caller sets node and incarnation.
-node_report makeReport(ledger& state, Common::instant now);
+node_report makeReport(quota_state& state, Common::instant now);
 
 /// Deducts what another node has granted since its previous report. A report of a node that setPeers() didn't name is
 /// ignored.
-void hearReport(ledger& state, const node_report& report, Common::instant now);
+void applyReport(quota_state& state, const node_report& report, Common::instant now);
 
 } // namespace Quota
--- a/Source/Core/Quota/Tests/QuotaTest.cpp
+++ b/Source/Core/Quota/Tests/QuotaTest.cpp
@@ -38,9 +38,9 @@
 
 /// Simulates nodes that exchange reports with a delay, each with its own request rate.
 struct simulated_nodes {
-    std::vector<ledger> nodes;
+    std::vector<quota_state> nodes;
     std::vector<uint64_t> incarnations;
-    std::vector<double> pendingTokens; ///< Tokens requested from each node but not yet passed to take().
+    std::vector<double> pendingTokens; ///< Tokens requested from each node but not yet passed to tryConsume().
     std::vector<delayed_report> reportsInTransit;
     std::vector<bool> isPartitioned; ///< The node neither sends nor receives reports.
     std::vector<std::pair<milliseconds, double>> granted; ///< Time and tokens of each grant, by all nodes.
@@ -86,7 +86,7 @@
     {
         for (const delayed_report& item : reportsInTransit) {
             if (item.due == now)
-                hearReport(nodes[item.recipient], item.report, at(now));
+                applyReport(nodes[item.recipient], item.report, at(now));
         }
     }
 
@@ -102,7 +102,7 @@
                 pendingTokens[index] += demand[index] / 100;
                 while (pendingTokens[index] >= requestTokens) {
                     pendingTokens[index] -= requestTokens;
-                    if (take(nodes[index], { "clerks" }, requestTokens, at(now)).isGranted)
+                    if (tryConsume(nodes[index], { "clerks" }, requestTokens, at(now)).isGranted)
                         granted.emplace_back(now, requestTokens);
                 }
             }
@@ -203,20 +203,20 @@
 
 TEST(Quota, AnUnlimitedOrUnknownAccountIsGranted)
 {
-    ledger state;
+    quota_state state;
     setAllowances(state, makeCatalog(0), at(milliseconds(0)));
-    CHECK(take(state, { "clerks" }, 1e9, at(milliseconds(0))).isGranted);
-    CHECK(take(state, { "nobody" }, 1e9, at(milliseconds(0))).isGranted);
+    CHECK(tryConsume(state, { "clerks" }, 1e9, at(milliseconds(0))).isGranted);
+    CHECK(tryConsume(state, { "nobody" }, 1e9, at(milliseconds(0))).isGranted);
 }
 
 TEST(Quota, RefusalStatesWhenToRetryAndRefundRestoresTheAllowance)
 {
-    ledger state;
+    quota_state state;
     setAllowances(state, makeCatalog(perSecond), at(milliseconds(0)));
-    CHECK(take(state, { "clerks" }, perSecond, at(milliseconds(0))).isGranted);
-    const grant refused = take(state, { "clerks" }, requestTokens, at(milliseconds(0)));
+    CHECK(tryConsume(state, { "clerks" }, perSecond, at(milliseconds(0))).isGranted);
+    const grant refused = tryConsume(state, { "clerks" }, requestTokens, at(milliseconds(0)));
     CHECK(!refused.isGranted);
     CHECK(refused.retryAfter > milliseconds(0));
-    giveBack(state, { "clerks" }, perSecond);
-    CHECK(take(state, { "clerks" }, requestTokens, at(milliseconds(0))).isGranted);
+    refund(state, { "clerks" }, perSecond);
+    CHECK(tryConsume(state, { "clerks" }, requestTokens, at(milliseconds(0))).isGranted);
 }
--- a/Source/Core/Rollout/Rollout.cpp
+++ b/Source/Core/Rollout/Rollout.cpp
@@ -43,7 +43,7 @@
     double attemptsPerMillisecond(const active_rollout& rollout, const class_evidence& pooled, Common::wall_time now)
     {
         const int64_t elapsed = std::max<int64_t>(now.value - rollout.version.startedAt.value, 1);
-        return static_cast<double>(sum(pooled, &comparison::fresh).begun + sum(pooled, &comparison::previous).begun) / static_cast<double>(elapsed);
+        return static_cast<double>(sum(pooled, &comparison::candidate).begun + sum(pooled, &comparison::previous).begun) / static_cast<double>(elapsed);
     }
 
     /// @return how many attempts at the new version must have ended to pass this stage: fewer when the traffic is too low to
@@ -70,7 +70,7 @@
     /// Limits exposure by count: while too many attempts at the new version are unanswered, it gets no further ones.
     bool isOverexposed(const rollout_state& state, const active_rollout& rollout)
     {
-        const attempt_counts own = sum(rollout.own, &comparison::fresh);
+        const attempt_counts own = sum(rollout.own, &comparison::candidate);
         const uint64_t unanswered = own.begun - std::min(own.begun, own.ended);
         const uint64_t allowed = std::max(minUnansweredLimit, state.settings.stages[rollout.stage].requiredEnded / std::max<size_t>(state.nodes, 1));
         return rollout.stage + 1 < state.settings.stages.size() && unanswered >= allowed;
@@ -88,9 +88,9 @@
 
     std::string describe(const class_evidence& pooled)
     {
-        const attempt_counts fresh = sum(pooled, &comparison::fresh);
+        const attempt_counts candidate = sum(pooled, &comparison::candidate);
         const attempt_counts previous = sum(pooled, &comparison::previous);
-        return "new " + std::to_string(fresh.failed) + " failed, " + std::to_string(fresh.late) + " late of " + std::to_string(fresh.ended)
+        return "new " + std::to_string(candidate.failed) + " failed, " + std::to_string(candidate.late) + " late of " + std::to_string(candidate.ended)
             + "; old " + std::to_string(previous.failed) + " failed, " + std::to_string(previous.late) + " late of " + std::to_string(previous.ended);
     }
 
@@ -104,7 +104,7 @@
             found->second.cause = cause;
         }
         publish(state, key, 0, output);
-        output.push_back(tell_latch { key, cause });
+        output.push_back(broadcast_latch { key, cause });
     }
 
     void propose(const rollout_settings& settings, active_rollout& rollout, Configuration::version_state end, const std::string& cause, Common::wall_time now, actions& output)
@@ -133,14 +133,14 @@
     {
         if (rollout.stage + 1 >= settings.stages.size())
             return;
-        if (sum(pooled, &comparison::fresh).ended < requiredAttempts(settings, rollout, pooled, now))
+        if (sum(pooled, &comparison::candidate).ended < requiredAttempts(settings, rollout, pooled, now))
             return;
         rollout.stage += 1;
     }
 
     bool isProven(const rollout_settings& settings, const active_rollout& rollout, const class_evidence& pooled, Common::wall_time now)
     {
-        return rollout.stage + 1 == settings.stages.size() && sum(pooled, &comparison::fresh).ended >= requiredAttempts(settings, rollout, pooled, now);
+        return rollout.stage + 1 == settings.stages.size() && sum(pooled, &comparison::candidate).ended >= requiredAttempts(settings, rollout, pooled, now);
     }
 
     void takeOver(rollout_state& state, const rollout_key& key, active_rollout& rollout, const class_evidence& pooled, Common::wall_time now, actions& output)
@@ -157,7 +157,7 @@
         if (!rollout.isLatched)
             evaluateClasses(state, key, pooled, output);
         if (rollout.isLatched) {
-            propose(state.settings, rollout, Configuration::version_state::TakenBack, rollout.cause, now, output);
+            propose(state.settings, rollout, Configuration::version_state::RolledBack, rollout.cause, now, output);
             return;
         }
         advance(state.settings, rollout, pooled, now);
@@ -165,7 +165,7 @@
         if (isProven(state.settings, rollout, pooled, now) && elapsed >= state.settings.takeOverTimeShare)
             return takeOver(state, key, rollout, pooled, now, output);
         if (elapsed >= takeBackTimeShare)
-            propose(state.settings, rollout, Configuration::version_state::TakenBack, "not proven in time: " + describe(pooled), now, output);
+            propose(state.settings, rollout, Configuration::version_state::RolledBack, "not proven in time: " + describe(pooled), now, output);
         publish(state, key, isOverexposed(state, rollout) ? 0 : chooseShare(state.settings, rollout, pooled, now), output);
     }
 
@@ -184,7 +184,7 @@
         publish(state, key, known != state.latched.end() ? 0 : state.settings.stages.front().share, output);
     }
 
-    void handle(rollout_state& state, configuration_seen&& message, Common::wall_time, actions& output)
+    void handle(rollout_state& state, configuration_changed&& message, Common::wall_time, actions& output)
     {
         std::map<std::string, version_shares> shares;
         std::map<std::string, Common::version_name> current;
@@ -193,7 +193,7 @@
             const rollout_key key { version.service, version.name };
             if (version.state == Configuration::version_state::TakingOver)
                 running.emplace_back(key, version);
-            if (version.state == Configuration::version_state::TakenBack)
+            if (version.state == Configuration::version_state::RolledBack)
                 shares[version.service][version.name] = 0;
             if (version.state == Configuration::version_state::Current)
                 current[version.service] = version.name;
@@ -243,7 +243,7 @@
                 continue;
             comparison& counts = rollout.own[message.work];
             const bool isCandidate = key.version == message.version;
-            count(isCandidate ? counts.fresh : counts.previous, message.event);
+            count(isCandidate ? counts.candidate : counts.previous, message.event);
             if (!isCandidate)
                 continue;
             if (isOverexposed(state, rollout))
@@ -268,7 +268,7 @@
         latch(state, message.key, message.cause, output);
     }
 
-    void handle(rollout_state& state, nodes_counted&& message, Common::wall_time, actions&)
+    void handle(rollout_state& state, node_count_changed&& message, Common::wall_time, actions&)
     {
         state.nodes = message.nodes;
     }
@@ -281,10 +281,10 @@
         for (auto& [key, rollout] : state.active) {
             tickRollout(state, key, rollout, now, output);
             if (isBroadcastDue && !rollout.own.empty())
-                output.push_back(tell_evidence { key, rollout.own });
+                output.push_back(broadcast_evidence { key, rollout.own });
             // Repeated at each interval, because nodes that join later need the latch as well.
             if (isBroadcastDue && rollout.isLatched)
-                output.push_back(tell_latch { key, rollout.cause });
+                output.push_back(broadcast_latch { key, rollout.cause });
         }
     }
 
@@ -295,7 +295,7 @@
     class_evidence pooled = rollout.own;
     for (const auto& [node, counts] : rollout.peers) {
         for (const auto& [work, compared] : counts) {
-            pooled[work].fresh = pooled[work].fresh + compared.fresh;
+            pooled[work].candidate = pooled[work].candidate + compared.candidate;
             pooled[work].previous = pooled[work].previous + compared.previous;
         }
     }
--- a/Source/Core/Rollout/Rollout.h
+++ b/Source/Core/Rollout/Rollout.h
@@ -7,7 +7,7 @@
 /// taken back) is written to the configuration's version chain. No clock, no socket.
 
 #include "Configuration/Model.h"
-#include "Rollout/Judgement.h"
+#include "Rollout/VersionComparison.h"
 
 #include <map>
 #include <variant>
@@ -25,13 +25,13 @@
     friend auto operator<=>(const rollout_key&, const rollout_key&) = default;
 };
 
-struct configuration_seen {
+struct configuration_changed {
     std::shared_ptr<const Configuration::configuration> config;
 };
 
 enum class attempt_event {
     Begun,
-    Good,
+    Succeeded,
     Failed,
     Late,
     Abandoned, ///< Ended for a reason unrelated to the version; no longer counted as begun.
@@ -59,13 +59,13 @@
 };
 
 /// The number of alive nodes changed; the limit of unanswered attempts is divided by it.
-struct nodes_counted {
+struct node_count_changed {
     size_t nodes { 1 }; ///< This node included.
 };
 
 struct rollout_tick { };
 
-using rollout_message = std::variant<configuration_seen, attempt_observed, peer_evidence, peer_latch, nodes_counted, rollout_tick>;
+using rollout_message = std::variant<configuration_changed, attempt_observed, peer_evidence, peer_latch, node_count_changed, rollout_tick>;
 
 /// Traffic shares in thousandths, by version. A version that is not listed receives the remaining traffic.
 using version_shares = std::map<Common::version_name, uint32_t>;
@@ -77,13 +77,13 @@
 };
 
 /// Broadcast this node's evidence to the peers.
-struct tell_evidence {
+struct broadcast_evidence {
     rollout_key key;
     class_evidence counts;
 };
 
 /// Broadcast to the peers that the version is latched as bad.
-struct tell_latch {
+struct broadcast_latch {
     rollout_key key;
     std::string cause;
 };
@@ -94,7 +94,7 @@
     std::string cause;
 };
 
-using rollout_action = std::variant<publish_shares, tell_evidence, tell_latch, propose_end>;
+using rollout_action = std::variant<publish_shares, broadcast_evidence, broadcast_latch, propose_end>;
 
 struct active_rollout {
     Configuration::endpoint_version version;
--- a/Source/Core/Rollout/RolloutDuty.cpp
+++ b/Source/Core/Rollout/RolloutDuty.cpp
@@ -51,8 +51,8 @@
     for (const rollout_action& action : stepRollout(m_state, std::move(message), now)) {
         std::visit(overloaded {
                        [this](const publish_shares& item) { m_outlets.publishShares(item); },
-                       [this](const tell_evidence& item) { m_outlets.tellEvidence(item); },
-                       [this](const tell_latch& item) { m_outlets.tellLatch(item); },
+                       [this](const broadcast_evidence& item) { m_outlets.broadcastEvidence(item); },
+                       [this](const broadcast_latch& item) { m_outlets.broadcastLatch(item); },
                        [this](const propose_end& item) { m_outlets.proposeEnd(item); },
                    },
             action);
--- a/Source/Core/Rollout/RolloutDuty.h
+++ b/Source/Core/Rollout/RolloutDuty.h
@@ -13,8 +13,8 @@
 /// Receivers of the duty's actions. None of the functions may block.
 struct rollout_outlets {
     std::function<void(const publish_shares&)> publishShares;
-    std::function<void(const tell_evidence&)> tellEvidence;
-    std::function<void(const tell_latch&)> tellLatch;
+    std::function<void(const broadcast_evidence&)> broadcastEvidence;
+    std::function<void(const broadcast_latch&)> broadcastLatch;
     std::function<void(const propose_end&)> proposeEnd;
 };
 
--- a/Source/Core/Rollout/Tests/RolloutTest.cpp
+++ b/Source/Core/Rollout/Tests/RolloutTest.cpp
@@ -68,13 +68,13 @@
     const double late = isNew && usesNewRates ? scenario.newLate : scenario.oldLate;
     const Common::version_name version { isNew ? "v2" : "v1" };
     apply(run, stepRollout(run.state, attempt_observed { "model", version, { "summary" }, attempt_event::Begun }, { now }), now);
-    attempt_event event = attempt_event::Good;
+    attempt_event event = attempt_event::Succeeded;
     if (Common::uniformUnit(random) < failures)
         event = attempt_event::Failed;
     else if (Common::uniformUnit(random) < late)
         event = attempt_event::Late;
     run.attemptsAtNew += isNew ? 1 : 0;
-    run.badAnswers += isNew && event != attempt_event::Good ? 1 : 0;
+    run.badAnswers += isNew && event != attempt_event::Succeeded ? 1 : 0;
     apply(run, stepRollout(run.state, attempt_observed { "model", version, { "summary" }, event }, { now }), now);
 }
 
@@ -82,7 +82,7 @@
 {
     rollout_run run;
     Common::random_source random(seed);
-    stepRollout(run.state, configuration_seen { makeConfiguration() }, { testStartMs });
+    stepRollout(run.state, configuration_changed { makeConfiguration() }, { testStartMs });
     for (int64_t now = testStartMs; now < testStartMs + testPlanMs && run.end.empty(); now += 1000) {
         for (int count = 0; count < scenario.attemptsPerSecond; ++count)
             simulateAttempt(run, scenario, random, now);
@@ -133,13 +133,13 @@
 TEST(Rollout, ALatchIsPermanentAndBroadcast)
 {
     rollout_state state;
-    stepRollout(state, configuration_seen { makeConfiguration() }, { testStartMs });
+    stepRollout(state, configuration_changed { makeConfiguration() }, { testStartMs });
     const auto actions = stepRollout(state, peer_latch { testKey, "failing" }, { testStartMs });
     LONGS_EQUAL(2, actions.size());
     LONGS_EQUAL(0, state.published["model"][testKey.version]);
     LONGS_EQUAL(0, stepRollout(state, peer_latch { testKey, "failing" }, { testStartMs }).size());
     // Neither the same configuration again nor the passing of time raises the share.
-    stepRollout(state, configuration_seen { makeConfiguration() }, { testStartMs });
+    stepRollout(state, configuration_changed { makeConfiguration() }, { testStartMs });
     for (int64_t now = testStartMs; now < testStartMs + testPlanMs; now += 1000)
         stepRollout(state, rollout_tick {}, { now });
     LONGS_EQUAL(0, state.published["model"][testKey.version]);
@@ -149,15 +149,15 @@
 {
     rollout_state state;
     stepRollout(state, peer_latch { testKey, "failing" }, { testStartMs });
-    stepRollout(state, configuration_seen { makeConfiguration() }, { testStartMs });
+    stepRollout(state, configuration_changed { makeConfiguration() }, { testStartMs });
     LONGS_EQUAL(0, state.published["model"][testKey.version]);
 }
 
 TEST(Rollout, ATakenBackVersionGetsNoTraffic)
 {
     rollout_state state;
-    stepRollout(state, configuration_seen { makeConfiguration() }, { testStartMs });
-    const auto actions = stepRollout(state, configuration_seen { makeConfiguration(Configuration::version_state::TakenBack) }, { testStartMs });
+    stepRollout(state, configuration_changed { makeConfiguration() }, { testStartMs });
+    const auto actions = stepRollout(state, configuration_changed { makeConfiguration(Configuration::version_state::RolledBack) }, { testStartMs });
     CHECK(!actions.empty());
     LONGS_EQUAL(0, state.published["model"][testKey.version]);
     LONGS_EQUAL(0, state.active.size());
@@ -166,7 +166,7 @@
 TEST(Rollout, FailuresInOneClassAreDetected)
 {
     rollout_state state;
-    stepRollout(state, configuration_seen { makeConfiguration() }, { testStartMs });
+    stepRollout(state, configuration_changed { makeConfiguration() }, { testStartMs });
     class_evidence counts;
     counts[{ "good" }] = { { 500, 500, 1, 5 }, { 5000, 5000, 10, 50 } };
     counts[{ "bad" }] = { { 20, 20, 12, 0 }, { 200, 200, 1, 2 } };
@@ -177,8 +177,8 @@
 TEST(Rollout, TooManyUnansweredAttemptsStopTheTraffic)
 {
     rollout_state state;
-    stepRollout(state, configuration_seen { makeConfiguration() }, { testStartMs });
-    stepRollout(state, nodes_counted { 7 }, { testStartMs });
+    stepRollout(state, configuration_changed { makeConfiguration() }, { testStartMs });
+    stepRollout(state, node_count_changed { 7 }, { testStartMs });
     for (int count = 0; count < 4; ++count)
         stepRollout(state, attempt_observed { "model", { "v2" }, { "summary" }, attempt_event::Begun }, { testStartMs });
     LONGS_EQUAL(0, state.published["model"][testKey.version]);
--- a/Source/Core/Rollout/Judgement.cpp
+++ b/Source/Core/Rollout/VersionComparison.cpp
@@ -1,4 +1,4 @@
-#include "Rollout/Judgement.h"
+#include "Rollout/VersionComparison.h"
 
 #include <algorithm>
 #include <cmath>
@@ -56,9 +56,9 @@
 
 verdict evaluate(const comparison& counts)
 {
-    if (isWorse(counts.fresh.failed, counts.fresh.ended, counts.previous.failed, counts.previous.ended))
+    if (isWorse(counts.candidate.failed, counts.candidate.ended, counts.previous.failed, counts.previous.ended))
         return verdict::Failing;
-    if (isWorse(counts.fresh.late, counts.fresh.ended, counts.previous.late, counts.previous.ended))
+    if (isWorse(counts.candidate.late, counts.candidate.ended, counts.previous.late, counts.previous.ended))
         return verdict::Late;
     return verdict::NoFault;
 }
--- a/Source/Core/Rollout/Judgement.h
+++ b/Source/Core/Rollout/VersionComparison.h
@@ -20,7 +20,7 @@
 
 /// Counts of both versions over the same period.
 struct comparison {
-    attempt_counts fresh; ///< Of the new version.
+    attempt_counts candidate; ///< Of the new version.
     attempt_counts previous; ///< Of the version before it.
 };
 
--- a/Source/Core/Routing/Router.cpp
+++ b/Source/Core/Routing/Router.cpp
@@ -46,7 +46,7 @@
     {
         // The report is outdated by the attempts that were sent since. This node counts its own;
         // the other nodes see the same report and are assumed to send as many each.
-        return static_cast<double>(view.reportedRunning) + view.reportedWaiting + view.sentSinceReport * state.sharingNodes;
+        return static_cast<double>(view.reportedRunning) + view.reportedWaiting + view.sentSinceReport * state.nodesPerEndpoint;
     }
 
     double queueSeconds(const router_state& state, const endpoint_view& view)
@@ -284,7 +284,7 @@
         state.byService[state.views[index].info->service].push_back(index);
 }
 
-void takeReport(router_state& state, const Endpoints::load_report& report)
+void applyLoadReport(router_state& state, const Endpoints::load_report& report)
 {
     endpoint_view* view = findView(state, report.id);
     if (!view)
@@ -308,7 +308,7 @@
     return routing_choice { index, item.firstTokenSeconds, item.costMicro, true };
 }
 
-void noteBegun(router_state& state, const Common::endpoint_id& id, uint64_t prefixHash)
+void recordAttemptStart(router_state& state, const Common::endpoint_id& id, uint64_t prefixHash)
 {
     endpoint_view* view = findView(state, id);
     if (!view)
@@ -322,7 +322,7 @@
     state.prefixHolders[prefixHash] = id;
 }
 
-void noteEnded(router_state& state, const Common::endpoint_id& id, const attempt_outcome& outcome, Common::instant now)
+void recordAttemptEnd(router_state& state, const Common::endpoint_id& id, const attempt_outcome& outcome, Common::instant now)
 {
     endpoint_view* view = findView(state, id);
     if (!view)
@@ -337,7 +337,7 @@
         eject(*view, now);
 }
 
-void learnFirstToken(endpoint_view& view, double seconds, double predictedSeconds)
+void updateFirstTokenEstimate(endpoint_view& view, double seconds, double predictedSeconds)
 {
     updateAverage(view.predictionErrorSeconds, std::max(0.0, seconds - predictedSeconds), errorSmoothingFactor);
     const double predictedQueue = std::max(0.0, predictedSeconds - view.firstTokenSeconds);
@@ -348,7 +348,7 @@
     updateAverage(view.firstTokenSeconds, withoutQueue, isPlausible ? smoothingFactor : outlierSmoothingFactor);
 }
 
-void learnTargetShare(router_state& state, const Common::class_name& work, bool isLate)
+void adaptTargetShare(router_state& state, const Common::class_name& work, bool isLate)
 {
     double& share = state.targetShares.try_emplace(work, initialTargetShare).first->second;
     share += isLate ? -targetShareStep : targetShareStep * toleratedLateShare / (1 - toleratedLateShare);
--- a/Source/Core/Routing/Router.h
+++ b/Source/Core/Routing/Router.h
@@ -62,7 +62,7 @@
     uint32_t roundRobinNext { 0 };
     /// By class: the share of the target that a prediction may use; reduced by each late first token.
     std::unordered_map<Common::class_name, double> targetShares;
-    double sharingNodes { 1 }; ///< Number of entry nodes that send to an endpoint, including this one.
+    double nodesPerEndpoint { 1 }; ///< Number of entry nodes that send to an endpoint, including this one.
     // Reused by all decisions, so that a decision allocates no memory.
     std::vector<uint32_t> scratchIndexes;
     std::vector<candidate> scratchCandidates;
@@ -91,7 +91,7 @@
 void setEndpoints(router_state& state, const std::vector<Endpoints::instance_info>& usable, Common::instant now);
 
 /// Applies the load that an endpoint reported; ignored for an endpoint that is not on the list.
-void takeReport(router_state& state, const Endpoints::load_report& report);
+void applyLoadReport(router_state& state, const Endpoints::load_report& report);
 
 /// @param now the current time; ejections and slow starts are measured against it.
 /// @return the chosen endpoint, or nothing if the class's service has no admissible one.
@@ -99,7 +99,7 @@
 
 /// Records the start of an attempt at an endpoint.
 /// @param prefixHash hash of the request's prompt prefix, or zero if it has none.
-void noteBegun(router_state& state, const Common::endpoint_id& id, uint64_t prefixHash);
+void recordAttemptStart(router_state& state, const Common::endpoint_id& id, uint64_t prefixHash);
 
 /// The result of an attempt, which updates the estimates.
 struct attempt_outcome {
@@ -108,17 +108,17 @@
 };
 
 /// Records the end of an attempt and updates the endpoint's estimates. At a high failure rate the endpoint is ejected.
-void noteEnded(router_state& state, const Common::endpoint_id& id, const attempt_outcome& outcome, Common::instant now);
+void recordAttemptEnd(router_state& state, const Common::endpoint_id& id, const attempt_outcome& outcome, Common::instant now);
 
 /// Updates the estimates of the time to the first token, less the predicted queueing time, and of the prediction error.
 /// @param view the endpoint.
 /// @param seconds time to the first token, measured from the start of the attempt.
 /// @param predictedSeconds the prediction at the start of the attempt.
-void learnFirstToken(endpoint_view& view, double seconds, double predictedSeconds);
+void updateFirstTokenEstimate(endpoint_view& view, double seconds, double predictedSeconds);
 
 /// Adapts the share of a class's target that predictions may use, so that about 97 of 100 first tokens are in time.
 /// @param isLate whether the first token arrived later than the class's target.
-void learnTargetShare(router_state& state, const Common::class_name& work, bool isLate);
+void adaptTargetShare(router_state& state, const Common::class_name& work, bool isLate);
 
 /// @return the view of an endpoint, or null if it is not on the list; valid until setEndpoints().
 endpoint_view* findView(router_state& state, const Common::endpoint_id& id);
--- a/Source/Core/Routing/Tests/RouterTest.cpp
+++ b/Source/Core/Routing/Tests/RouterTest.cpp
@@ -67,7 +67,7 @@
     const row rows[] = { { 0, "cheap" }, { 40, "expensive" } };
     for (const row& item : rows) {
         router_state state = makeState();
-        takeReport(state, { { "cheap" }, 4, item.waitingAtCheap, false });
+        applyLoadReport(state, { { "cheap" }, 4, item.waitingAtCheap, false });
         STRCMP_EQUAL(item.expected, choose(state, makeClass()).c_str());
     }
 }
@@ -75,11 +75,11 @@
 TEST(Router, AttemptsSentSinceTheLastReportCountAsLoad)
 {
     router_state state = makeState();
-    takeReport(state, { { "cheap" }, 0, 0, false });
+    applyLoadReport(state, { { "cheap" }, 0, 0, false });
     for (int sent = 0; sent < 40; ++sent)
-        noteBegun(state, { "cheap" }, 0);
+        recordAttemptStart(state, { "cheap" }, 0);
     STRCMP_EQUAL("expensive", choose(state, makeClass()).c_str());
-    takeReport(state, { { "cheap" }, 0, 0, false });
+    applyLoadReport(state, { { "cheap" }, 0, 0, false });
     STRCMP_EQUAL("cheap", choose(state, makeClass()).c_str());
 }
 
@@ -103,7 +103,7 @@
     for (int index = 0; index < 300; ++index)
         instances.push_back(makeInstance("e" + std::to_string(index), "east", "home", 100));
     setEndpoints(state, instances, testStart);
-    noteBegun(state, { "e77" }, 42);
+    recordAttemptStart(state, { "e77" }, 42);
     const auto work = makeClass();
     routing_request request;
     request.work = &work;
@@ -116,7 +116,7 @@
 {
     router_state state = makeState();
     for (int failures = 0; failures < 10; ++failures)
-        noteEnded(state, { "cheap" }, { true, {} }, testStart);
+        recordAttemptEnd(state, { "cheap" }, { true, {} }, testStart);
     STRCMP_EQUAL("expensive", choose(state, makeClass()).c_str());
     routing_request request;
     const auto work = makeClass();
@@ -166,8 +166,8 @@
     const row rows[] = { { policy::Nearest, "expensive" }, { policy::LeastReported, "far" } };
     for (const row& item : rows) {
         router_state state = makeState(item.chosen);
-        takeReport(state, { { "cheap" }, 3, 0, false });
-        takeReport(state, { { "expensive" }, 2, 0, false });
+        applyLoadReport(state, { { "cheap" }, 3, 0, false });
+        applyLoadReport(state, { { "expensive" }, 2, 0, false });
         STRCMP_EQUAL(item.expected, choose(state, makeClass()).c_str());
     }
     router_state state = makeState(policy::RoundRobin);
--- a/Source/Core/Scaling/Order.h
+++ b/Source/Core/Scaling/Order.h
@@ -17,7 +17,7 @@
 };
 
 /// Issuer of an order, and the fencing token of its lease.
-struct order_giver {
+struct order_issuer {
     Common::node_id node;
     uint64_t fence { 0 };
 };
--- a/Source/Core/Scaling/Plan.cpp
+++ b/Source/Core/Scaling/Plan.cpp
@@ -62,10 +62,10 @@
             const auto supply = input.supply.find(zone);
             need.supplied = supply == input.supply.end() ? 0 : supply->second.reclaimable;
             const auto wanted = static_cast<uint32_t>(std::ceil(reclaimableFactor * need.needed));
-            need.reclaimable = std::clamp(wanted, std::max(1U, bounds.least), bounds.most);
+            need.reclaimable = std::clamp(wanted, std::max(1U, bounds.min), bounds.max);
             // In an exhausted zone, plain endpoints may use the capacity of reclaimable ones that are not available.
             const uint32_t expectedReclaimable = input.exhausted.contains(zone) ? std::min(need.supplied, need.reclaimable) : need.reclaimable;
-            need.maxPlain = bounds.most - expectedReclaimable;
+            need.maxPlain = bounds.max - expectedReclaimable;
             needs.push_back(need);
         }
         return needs;
@@ -178,7 +178,7 @@
     addPlain(needs, std::ceil(totalOf(needs) - reclaimableAfterLoss(needs)));
     for (const zone_need& need : needs) {
         wanted[{ service.name, need.zone, false }] = need.plain;
-        wanted[{ service.name, need.zone, true }] = std::min(need.reclaimable, service.scaling->most - need.plain);
+        wanted[{ service.name, need.zone, true }] = std::min(need.reclaimable, service.scaling->max - need.plain);
     }
     return wanted;
 }
--- a/Source/Core/Scaling/Plan.h
+++ b/Source/Core/Scaling/Plan.h
@@ -7,7 +7,7 @@
 /// Pure: no clock, no socket.
 
 #include "Catalog/Catalog.h"
-#include "Fleet/EndpointBook.h"
+#include "Fleet/EndpointRegistry.h"
 #include "Scaling/Demand.h"
 #include "Scaling/Order.h"
 
--- a/Source/Core/Scheduling/Scheduler.cpp
+++ b/Source/Core/Scheduling/Scheduler.cpp
@@ -45,7 +45,7 @@
     constexpr double minLatencyFactor = 0.3;
     constexpr double maxLatencyFactor = 8;
     /// An older reported load is ignored.
-    constexpr milliseconds maxStatedLoadAge { 1500 };
+    constexpr milliseconds maxReportedLoadAge { 1500 };
     /// Consecutive failures that eject an endpoint, and for how long: the time doubles with each further failure, up to the
     /// maximum.
     constexpr uint32_t failuresBeforeEjection = 3;
@@ -106,14 +106,14 @@
 
     double distancePenaltyMs(const scheduler_state& state, const endpoint_state& endpoint)
     {
-        if (endpoint.facts.zone == state.here.zone)
+        if (endpoint.facts.zone == state.ownLocation.zone)
             return 0;
-        const auto region = state.here.regions.find(endpoint.facts.zone);
-        const bool isNear = region != state.here.regions.end() && region->second == state.here.region;
+        const auto region = state.ownLocation.regions.find(endpoint.facts.zone);
+        const bool isNear = region != state.ownLocation.regions.end() && region->second == state.ownLocation.region;
         return isNear ? otherZonePenaltyMs : otherRegionPenaltyMs;
     }
 
-    double countUncachedTokens(const endpoint_state& endpoint, const model_facts& model)
+    double countUncachedTokens(const endpoint_state& endpoint, const model_request& model)
     {
         const uint32_t cached = cachedTokens(endpoint.cache, model.parts);
         return model.promptTokens > cached ? model.promptTokens - cached : 0;
@@ -121,9 +121,9 @@
 
     uint32_t countRequestsOfOtherNodes(const endpoint_state& endpoint, Common::instant now)
     {
-        if (!endpoint.stated || now - endpoint.statedAt > maxStatedLoadAge)
+        if (!endpoint.reported || now - endpoint.reportedAt > maxReportedLoadAge)
             return 0;
-        const uint32_t total = endpoint.stated->running + endpoint.stated->waiting;
+        const uint32_t total = endpoint.reported->running + endpoint.reported->waiting;
         const auto own = static_cast<uint32_t>(endpoint.placed.size());
         return total > own ? total - own : 0;
     }
@@ -149,13 +149,13 @@
         return plainRequestMs * rounds * endpoint.latencyFactor + requestsAhead;
     }
 
-    double predictMs(const scheduler_state& state, const endpoint_state& endpoint, const work& request, double uncachedTokens, Common::instant now)
+    double predictMs(const scheduler_state& state, const endpoint_state& endpoint, const placement_request& request, double uncachedTokens, Common::instant now)
     {
         const double ms = request.model ? predictModelMs(state, endpoint, uncachedTokens, now) : predictPlainMs(endpoint, now);
         return now < endpoint.warmUpEnd ? ms * warmUpFactor : ms;
     }
 
-    bool isEligible(const endpoint_state& endpoint, const work& request, const placement_limits& limits)
+    bool isEligible(const endpoint_state& endpoint, const placement_request& request, const placement_limits& limits)
     {
         if (endpoint.facts.service != request.service || endpoint.facts.phase != Fleet::endpoint_phase::Ready)
             return false;
@@ -173,7 +173,7 @@
         double score { 0 };
     };
 
-    candidate findBest(scheduler_state& state, const work& request, const placement_limits& limits, bool includesEjected, Common::instant now)
+    candidate findBest(scheduler_state& state, const placement_request& request, const placement_limits& limits, bool includesEjected, Common::instant now)
     {
         candidate best;
         for (auto& [id, endpoint] : state.endpoints) {
@@ -189,7 +189,7 @@
         return best;
     }
 
-    placement record(scheduler_state& state, const candidate& chosen, const work& request, Common::instant now)
+    placement record(scheduler_state& state, const candidate& chosen, const placement_request& request, Common::instant now)
     {
         const placement_id id { ++state.lastPlacement.value };
         placed_work placed;
@@ -199,7 +199,7 @@
         placed.serviceLatencyFactor = request.model ? serviceLatencyFactorOf(state, request.service) : 1;
         placed.tokensAhead = chosen.endpoint->waitingTokens + chosen.uncachedTokens;
         if (request.model) {
-            placed.outputTokens = request.model->expectedOutputTokens.value_or(request.model->mostOutputTokens);
+            placed.outputTokens = request.model->expectedOutputTokens.value_or(request.model->maxOutputTokens);
             recordParts(chosen.endpoint->cache, request.model->parts);
         }
         chosen.endpoint->waitingTokens += chosen.uncachedTokens;
@@ -250,7 +250,7 @@
 
 } // namespace
 
-void noteEndpoint(scheduler_state& state, const Fleet::endpoint& endpoint, Common::instant now)
+void updateEndpoint(scheduler_state& state, const Fleet::endpoint& endpoint, Common::instant now)
 {
     auto found = state.endpoints.find(endpoint.id);
     if (found != state.endpoints.end() && found->second.facts.started == endpoint.started && found->second.facts.address == endpoint.address) {
@@ -264,12 +264,12 @@
     state.endpoints[endpoint.id] = std::move(added);
 }
 
-void dropEndpoint(scheduler_state& state, const Common::endpoint_id& id)
+void removeEndpoint(scheduler_state& state, const Common::endpoint_id& id)
 {
     state.endpoints.erase(id);
 }
 
-tl::expected<placement, refusal> place(scheduler_state& state, const work& request, const placement_limits& limits, Common::instant now)
+tl::expected<placement, refusal> place(scheduler_state& state, const placement_request& request, const placement_limits& limits, Common::instant now)
 {
     candidate best = findBest(state, request, limits, false, now);
     // All eligible endpoints are ejected: using one of them is better than refusing the request.
@@ -285,7 +285,7 @@
     return record(state, best, request, now);
 }
 
-void noteBegun(scheduler_state& state, const Common::endpoint_id& endpoint, placement_id id, Common::instant now)
+void recordFirstEvent(scheduler_state& state, const Common::endpoint_id& endpoint, placement_id id, Common::instant now)
 {
     endpoint_state* found = find(state, endpoint);
     if (!found)
@@ -300,7 +300,7 @@
     stopWaiting(*found, placed->second);
 }
 
-void noteEnded(scheduler_state& state, const Common::endpoint_id& endpoint, placement_id id, placement_end end, Common::instant now)
+void recordEnd(scheduler_state& state, const Common::endpoint_id& endpoint, placement_id id, placement_end end, Common::instant now)
 {
     endpoint_state* found = find(state, endpoint);
     if (!found)
@@ -330,21 +330,21 @@
     }
 }
 
-void noteStatedLoad(scheduler_state& state, const Common::endpoint_id& endpoint, const stated_load& load, Common::instant now)
+void recordReportedLoad(scheduler_state& state, const Common::endpoint_id& endpoint, const reported_load& load, Common::instant now)
 {
     endpoint_state* found = find(state, endpoint);
     if (!found)
         return;
-    found->stated = load;
-    found->statedAt = now;
+    found->reported = load;
+    found->reportedAt = now;
 }
 
-double engineMs(const scheduler_state& state, const Common::service_name& service, double uncachedTokens, const model_facts& model)
+double engineMs(const scheduler_state& state, const Common::service_name& service, double uncachedTokens, const model_request& model)
 {
     const auto found = state.prefillRegressions.find(service);
     const bool isMeasured = found != state.prefillRegressions.end() && found->second.unloadedMsPerToken > 0;
     const double perToken = isMeasured ? found->second.unloadedMsPerToken : initialMsPerToken;
-    return uncachedTokens * perToken + model.expectedOutputTokens.value_or(model.mostOutputTokens) * msPerOutputToken;
+    return uncachedTokens * perToken + model.expectedOutputTokens.value_or(model.maxOutputTokens) * msPerOutputToken;
 }
 
 bool hasEndpoint(const scheduler_state& state, const Common::service_name& service)
--- a/Source/Core/Scheduling/Scheduler.h
+++ b/Source/Core/Scheduling/Scheduler.h
@@ -6,7 +6,7 @@
 
 #include "Catalog/Catalog.h"
 #include "Common/Random.h"
-#include "Fleet/EndpointBook.h"
+#include "Fleet/EndpointRegistry.h"
 #include "Scheduling/PromptCache.h"
 #include "Scheduling/Work.h"
 
@@ -37,8 +37,8 @@
     Fleet::endpoint facts;
     std::map<placement_id, placed_work> placed;
     double waitingTokens { 0 }; ///< Uncached prompt tokens of placed requests without a first event.
-    std::optional<stated_load> stated; ///< Last load reported by the endpoint.
-    Common::instant statedAt;
+    std::optional<reported_load> reported; ///< Last load reported by the endpoint.
+    Common::instant reportedAt;
     double latencyFactor { 1 }; ///< Correction of predicted times, adapted to the observed ones.
     prompt_cache cache;
     uint32_t consecutiveFailures { 0 };
@@ -65,7 +65,7 @@
 };
 
 struct scheduler_state {
-    location here;
+    location ownLocation;
     std::map<Common::endpoint_id, endpoint_state> endpoints;
     std::map<Common::service_name, prefill_regression> prefillRegressions;
     /// Recent correction of predicted times over all endpoints of a service. It captures load caused by other nodes: a
@@ -80,7 +80,7 @@
     std::string address;
     placement_id id;
     double predictedMs { 0 }; ///< Predicted time to the first event.
-    double freshTokens { 0 }; ///< Prompt tokens that the endpoint has to process.
+    double uncachedTokens { 0 }; ///< Prompt tokens that the endpoint has to process.
 };
 
 enum class refusal_reason {
@@ -101,9 +101,9 @@
 };
 
 /// Adds or updates an endpoint. If it was restarted or its address changed, its load and cache estimates are reset.
-void noteEndpoint(scheduler_state& state, const Fleet::endpoint& endpoint, Common::instant now);
+void updateEndpoint(scheduler_state& state, const Fleet::endpoint& endpoint, Common::instant now);
 /// Removes an endpoint and all that was recorded about it.
-void dropEndpoint(scheduler_state& state, const Common::endpoint_id& id);
+void removeEndpoint(scheduler_state& state, const Common::endpoint_id& id);
 
 /// Chooses the endpoint with the lowest predicted time, distance penalty included.
 /// @param state the endpoints; the placement is recorded in it.
@@ -111,10 +111,10 @@
 /// @param limits constraints on the choice.
 /// @param now current time.
 /// @return the placement, or why the request can't be served in time.
-tl::expected<placement, refusal> place(scheduler_state& state, const work& request, const placement_limits& limits, Common::instant now);
+tl::expected<placement, refusal> place(scheduler_state& state, const placement_request& request, const placement_limits& limits, Common::instant now);
 
 /// Records that the first event or the answer of a placed request arrived.
-void noteBegun(scheduler_state& state, const Common::endpoint_id& endpoint, placement_id id, Common::instant now);
+void recordFirstEvent(scheduler_state& state, const Common::endpoint_id& endpoint, placement_id id, Common::instant now);
 
 /// How a placed request ended, as far as it counts for or against the endpoint.
 enum class placement_end {
@@ -126,17 +126,17 @@
 };
 
 /// Records the end of a placed request; repeated failures eject the endpoint for a while.
-void noteEnded(scheduler_state& state, const Common::endpoint_id& endpoint, placement_id id, placement_end end, Common::instant now);
+void recordEnd(scheduler_state& state, const Common::endpoint_id& endpoint, placement_id id, placement_end end, Common::instant now);
 
 /// Stores the load that an endpoint reported.
-void noteStatedLoad(scheduler_state& state, const Common::endpoint_id& endpoint, const stated_load& load, Common::instant now);
+void recordReportedLoad(scheduler_state& state, const Common::endpoint_id& endpoint, const reported_load& load, Common::instant now);
 
 /// @param state the measured prefill speeds.
 /// @param service the service of the request.
 /// @param uncachedTokens prompt tokens that have to be processed.
 /// @param model the request's size.
 /// @return engine time that the request takes, in milliseconds.
-double engineMs(const scheduler_state& state, const Common::service_name& service, double uncachedTokens, const model_facts& model);
+double engineMs(const scheduler_state& state, const Common::service_name& service, double uncachedTokens, const model_request& model);
 
 /// @return whether any endpoint of the service is ready.
 bool hasEndpoint(const scheduler_state& state, const Common::service_name& service);
--- a/Source/Core/Scheduling/Tests/SchedulerTest.cpp
+++ b/Source/Core/Scheduling/Tests/SchedulerTest.cpp
@@ -29,25 +29,25 @@
 scheduler_state makeState(const std::vector<Fleet::endpoint>& endpoints)
 {
     scheduler_state state;
-    state.here = { { "a" }, { "r" }, { { { "a" }, { "r" } }, { { "b" }, { "r" } }, { { "c" }, { "q" } } } };
+    state.ownLocation = { { "a" }, { "r" }, { { { "a" }, { "r" } }, { { "b" }, { "r" } }, { { "c" }, { "q" } } } };
     for (const Fleet::endpoint& endpoint : endpoints)
-        noteEndpoint(state, endpoint, at(0));
+        updateEndpoint(state, endpoint, at(0));
     return state;
 }
 
-work makeModelWork(uint32_t tokens, const std::vector<prompt_part>& parts)
+placement_request makeModelWork(uint32_t tokens, const std::vector<prompt_part>& parts)
 {
-    work request;
+    placement_request request;
     request.service = { "s" };
-    request.model = model_facts { "m", tokens, 50, {}, parts };
+    request.model = model_request { "m", tokens, 50, {}, parts };
     request.arrived = at(0);
     request.deadline = at(5000);
     return request;
 }
 
-work makePlainWork()
+placement_request makePlainWork()
 {
-    work request;
+    placement_request request;
     request.service = { "s" };
     request.arrived = at(0);
     request.deadline = at(1000);
@@ -82,11 +82,11 @@
     // Many requests share few prefixes. An idle engine without the prefix must not win over the one that has cached it.
     scheduler_state state = makeState({ makeEndpoint("1", "a"), makeEndpoint("2", "a"), makeEndpoint("3", "a") });
     const auto first = place(state, makeModelWork(9000, { { "subject", 6000 }, { "own1", 3000 } }), {}, at(0));
-    noteBegun(state, first->endpoint, first->id, at(300));
-    noteEnded(state, first->endpoint, first->id, placement_end::Served, at(400));
+    recordFirstEvent(state, first->endpoint, first->id, at(300));
+    recordEnd(state, first->endpoint, first->id, placement_end::Served, at(400));
     const auto second = place(state, makeModelWork(9000, { { "subject", 6000 }, { "own2", 3000 } }), {}, at(500));
     CHECK(first->endpoint == second->endpoint);
-    DOUBLES_EQUAL(3000, second->freshTokens, 0.1);
+    DOUBLES_EQUAL(3000, second->uncachedTokens, 0.1);
 }
 
 TEST(Scheduler, LoadIsSpreadEvenIfOneEngineHasCachedThePrefix)
@@ -174,7 +174,7 @@
     for (int failure = 0; failure < 3; ++failure) {
         const auto placed = place(state, makePlainWork(), {}, at(0));
         STRCMP_EQUAL("1", placed->endpoint.value.c_str());
-        noteEnded(state, placed->endpoint, placed->id, placement_end::Failed, at(0));
+        recordEnd(state, placed->endpoint, placed->id, placement_end::Failed, at(0));
     }
     STRCMP_EQUAL("2", place(state, makePlainWork(), {}, at(10))->endpoint.value.c_str());
     STRCMP_EQUAL("1", place(state, makePlainWork(), {}, at(900))->endpoint.value.c_str());
@@ -185,7 +185,7 @@
     scheduler_state state = makeState({ makeEndpoint("1", "a") });
     Fleet::endpoint leaving = makeEndpoint("1", "a");
     leaving.phase = Fleet::endpoint_phase::Leaving;
-    noteEndpoint(state, leaving, at(1));
+    updateEndpoint(state, leaving, at(1));
     CHECK(!place(state, makePlainWork(), {}, at(2)).has_value());
     CHECK(!hasEndpoint(state, { "s" }));
 }
@@ -195,11 +195,11 @@
     scheduler_state state = makeState({ makeEndpoint("1", "a") });
     const std::vector<prompt_part> parts { { "subject", 6000 } };
     const auto first = place(state, makeModelWork(6000, parts), {}, at(0));
-    noteEnded(state, first->endpoint, first->id, placement_end::Served, at(1));
+    recordEnd(state, first->endpoint, first->id, placement_end::Served, at(1));
     Fleet::endpoint restarted = makeEndpoint("1", "a");
     restarted.started = { 5 };
-    noteEndpoint(state, restarted, at(2));
-    DOUBLES_EQUAL(6000, place(state, makeModelWork(6000, parts), {}, at(3))->freshTokens, 0.1);
+    updateEndpoint(state, restarted, at(2));
+    DOUBLES_EQUAL(6000, place(state, makeModelWork(6000, parts), {}, at(3))->uncachedTokens, 0.1);
 }
 
 TEST(Scheduler, PredictionsAdaptToThePrefillSpeed)
@@ -209,13 +209,13 @@
     double predicted = 0;
     for (int request = 0; request < 200; ++request) {
         const uint32_t tokens = 1000 + 97U * static_cast<uint32_t>(request % 60);
-        work modelRequest = makeModelWork(tokens, { { "own" + std::to_string(request), tokens } });
+        placement_request modelRequest = makeModelWork(tokens, { { "own" + std::to_string(request), tokens } });
         modelRequest.deadline = at(request * 1000 + 5000);
         const auto placed = place(state, modelRequest, {}, at(request * 1000));
         predicted = placed->predictedMs;
         const auto ms = static_cast<int>(25 + tokens * actualMsPerToken);
-        noteBegun(state, placed->endpoint, placed->id, at(request * 1000 + ms));
-        noteEnded(state, placed->endpoint, placed->id, placement_end::Served, at(request * 1000 + ms));
+        recordFirstEvent(state, placed->endpoint, placed->id, at(request * 1000 + ms));
+        recordEnd(state, placed->endpoint, placed->id, placement_end::Served, at(request * 1000 + ms));
     }
     const uint32_t lastTokens = 1000 + 97U * (199 % 60);
     DOUBLES_EQUAL(25 + lastTokens * actualMsPerToken, predicted, 8);
--- a/Source/Core/Scheduling/Work.h
+++ b/Source/Core/Scheduling/Work.h
@@ -20,25 +20,25 @@
 };
 
 /// Model, size and parts of the prompt as stated in a request.
-struct model_facts {
+struct model_request {
     std::string model;
     uint32_t promptTokens { 0 };
-    uint32_t mostOutputTokens { 0 };
+    uint32_t maxOutputTokens { 0 };
     std::optional<uint32_t> expectedOutputTokens; ///< The caller's estimate, often far off.
     std::vector<prompt_part> parts;
 };
 
 /// Load that an endpoint reports in its answers.
-struct stated_load {
+struct reported_load {
     uint32_t running { 0 };
     uint32_t waiting { 0 };
     uint32_t slots { 0 };
 };
 
 /// One request that needs an endpoint; without a model it is a plain service call.
-struct work {
+struct placement_request {
     Common::service_name service;
-    std::optional<model_facts> model;
+    std::optional<model_request> model;
     Common::instant arrived;
     Common::instant deadline;
 };
--- a/Source/Core/Store/Rows.h
+++ b/Source/Core/Store/Rows.h
@@ -74,11 +74,11 @@
     uint32_t limit { 500 }; ///< Maximum number of rows in the answer.
 };
 
-/// Reads the changes of a table after a version. The store answers when there are some, or after longestWait.
+/// Reads the changes of a table after a version. The store answers when there are some, or after maxWait.
 struct change_query {
     std::string table;
     row_version after;
-    std::chrono::milliseconds longestWait { 0 };
+    std::chrono::milliseconds maxWait { 0 };
 };
 
 } // namespace Store
--- a/Source/Core/Store/TableWatch.cpp
+++ b/Source/Core/Store/TableWatch.cpp
@@ -13,7 +13,7 @@
     {
         const uint32_t doublings = std::min(watch.failures, maxDoublings);
         ++watch.failures;
-        watch.nextCall = now + std::min(initialRetryDelay * (1U << doublings), watch.settings.longestRetry);
+        watch.nextCall = now + std::min(initialRetryDelay * (1U << doublings), watch.settings.maxRetryDelay);
         // Pages read after the failure belong to another version and must not be joined with earlier ones.
         watch.incoming.clear();
         watch.nextKey.clear();
@@ -64,18 +64,18 @@
 
 std::optional<watch_query> nextQuery(table_watch& watch, Common::instant now)
 {
-    if (watch.isCallPending || (now < watch.nextCall && !(watch.wantsRefresh && !watch.isFailing)))
+    if (watch.isCallPending || (now < watch.nextCall && !(watch.isRefreshRequested && !watch.isFailing)))
         return {};
     watch.isCallPending = true;
-    if (!watch.isComplete || watch.wantsRefresh) {
-        watch.wantsRefresh = false;
+    if (!watch.isComplete || watch.isRefreshRequested) {
+        watch.isRefreshRequested = false;
         watch.isComplete = false;
         return range { watch.settings.table, "", watch.nextKey, "", 500 };
     }
-    return change_query { watch.settings.table, watch.newest, watch.settings.longestWait };
+    return change_query { watch.settings.table, watch.newest, watch.settings.maxWait };
 }
 
-watch_event takeAnswer(table_watch& watch, const rows_answer& answer, Common::instant now)
+watch_event handleAnswer(table_watch& watch, const rows_answer& answer, Common::instant now)
 {
     watch_event event;
     watch.isCallPending = false;
@@ -98,7 +98,7 @@
     watch.nextCall = now;
     watch.confirmedAt = now;
     event.hasChanged = watch.isComplete ? applyChanges(watch, answer) : applyPage(watch, answer);
-    watch.wantsRefresh = watch.wantsRefresh || needsFullRead;
+    watch.isRefreshRequested = watch.isRefreshRequested || needsFullRead;
     if (event.hasChanged && watch.isComplete)
         watch.nextCall = now + watch.settings.pause;
     return event;
--- a/Source/Core/Store/TableWatch.h
+++ b/Source/Core/Store/TableWatch.h
@@ -14,8 +14,8 @@
 
 struct watch_settings {
     std::string table;
-    std::chrono::milliseconds longestWait { 1500 }; ///< Of a change_query; a feed that stops is noticed after it.
-    std::chrono::milliseconds longestRetry { 600 }; ///< Upper bound of the delay between retries.
+    std::chrono::milliseconds maxWait { 1500 }; ///< Of a change_query; a feed that stops is noticed after it.
+    std::chrono::milliseconds maxRetryDelay { 600 }; ///< Upper bound of the delay between retries.
     std::chrono::milliseconds pause { 0 }; ///< After changes, so that further ones arrive in one answer.
 };
 
@@ -28,7 +28,7 @@
     bool isComplete { false }; ///< No full read is due or in progress; the rows include all changes up to newest.
     bool isCallPending { false };
     bool isFailing { false }; ///< The last call failed.
-    bool wantsRefresh { false }; ///< Set when a newer state is known to exist: requests a full read at once.
+    bool isRefreshRequested { false }; ///< Set when a newer state is known to exist: requests a full read at once.
     uint32_t failures { 0 }; ///< Failed calls in a row.
     Common::instant nextCall; ///< Earliest time of the next call.
     Common::instant confirmedAt; ///< Time of the last successful answer.
@@ -52,6 +52,6 @@
 /// @param watch changed in place.
 /// @param answer the store's answer; its outcome Unknown when there was none.
 /// @param now current time.
-watch_event takeAnswer(table_watch& watch, const rows_answer& answer, Common::instant now);
+watch_event handleAnswer(table_watch& watch, const rows_answer& answer, Common::instant now);
 
 } // namespace Store
--- a/Source/Core/Store/Tests/TableWatchTest.cpp
+++ b/Source/Core/Store/Tests/TableWatchTest.cpp
@@ -48,7 +48,7 @@
     table_watch watch;
     watch.settings.table = "t";
     CHECK(requestsFullRead(watch, at(0)));
-    takeAnswer(watch, makeAnswer({ makeRow("a", 1), makeRow("b", 2) }, 5), at(0));
+    handleAnswer(watch, makeAnswer({ makeRow("a", 1), makeRow("b", 2) }, 5), at(0));
     return watch;
 }
 
@@ -73,7 +73,7 @@
     };
     for (const step& item : steps) {
         CHECK(!requestsFullRead(watch, at(1)));
-        CHECK_EQUAL(item.hasChanged, takeAnswer(watch, makeAnswer(item.rows, item.newest), at(1)).hasChanged);
+        CHECK_EQUAL(item.hasChanged, handleAnswer(watch, makeAnswer(item.rows, item.newest), at(1)).hasChanged);
         CHECK_EQUAL(item.size, watch.rows.size());
         CHECK_EQUAL(item.newest, watch.newest.value);
     }
@@ -83,9 +83,9 @@
 {
     table_watch watch = makeCompleteWatch();
     CHECK(!requestsFullRead(watch, at(1)));
-    takeAnswer(watch, makeFailure(call_outcome::HistoryLost), at(1));
+    handleAnswer(watch, makeFailure(call_outcome::HistoryLost), at(1));
     CHECK(requestsFullRead(watch, at(1)));
-    CHECK(takeAnswer(watch, makeAnswer({ makeRow("b", 8) }, 9), at(1)).hasChanged);
+    CHECK(handleAnswer(watch, makeAnswer({ makeRow("b", 8) }, 9), at(1)).hasChanged);
     CHECK_EQUAL(1, watch.rows.size());
 }
 
@@ -97,13 +97,13 @@
     for (int call = 0; call < 5; ++call) {
         while (!nextQuery(watch, at(now)))
             now += 10;
-        failuresReported += takeAnswer(watch, makeFailure(call % 2 ? call_outcome::Unknown : call_outcome::Refused), at(now)).hasFailed ? 1 : 0;
+        failuresReported += handleAnswer(watch, makeFailure(call % 2 ? call_outcome::Unknown : call_outcome::Refused), at(now)).hasFailed ? 1 : 0;
         CHECK_EQUAL(2, watch.rows.size());
     }
     CHECK_EQUAL(1, failuresReported);
     while (!nextQuery(watch, at(now)))
         now += 10;
-    CHECK(takeAnswer(watch, makeAnswer({}, 5), at(now)).hasReturned);
+    CHECK(handleAnswer(watch, makeAnswer({}, 5), at(now)).hasReturned);
     CHECK(requestsFullRead(watch, at(now)));
 }
 
@@ -111,10 +111,10 @@
 {
     table_watch watch;
     CHECK(requestsFullRead(watch, at(0)));
-    CHECK(!takeAnswer(watch, makeAnswer({ makeRow("a", 1) }, 3, true), at(0)).hasChanged);
+    CHECK(!handleAnswer(watch, makeAnswer({ makeRow("a", 1) }, 3, true), at(0)).hasChanged);
     const auto next = nextQuery(watch, at(0));
     CHECK(std::get<range>(*next).from > "a");
-    CHECK(takeAnswer(watch, makeAnswer({ makeRow("b", 2) }, 3), at(0)).hasChanged);
+    CHECK(handleAnswer(watch, makeAnswer({ makeRow("b", 2) }, 3), at(0)).hasChanged);
     CHECK_EQUAL(2, watch.rows.size());
 }
 
@@ -123,29 +123,29 @@
     table_watch watch = makeCompleteWatch();
     watch.settings.pause = std::chrono::milliseconds(500);
     CHECK(!requestsFullRead(watch, at(1)));
-    takeAnswer(watch, makeAnswer({ makeRow("c", 6) }, 6), at(1));
+    handleAnswer(watch, makeAnswer({ makeRow("c", 6) }, 6), at(1));
     CHECK(!nextQuery(watch, at(400)).has_value());
-    watch.wantsRefresh = true;
+    watch.isRefreshRequested = true;
     CHECK(requestsFullRead(watch, at(400)));
 }
 
 TEST(TableWatch, AnUnavailableStoreIsRetriedAtTheLongestRetryInterval)
 {
     struct row {
-        int longestRetryMs;
+        int maxRetryDelayMs;
         int maxCalls; ///< Within ten seconds of refusals, the first retries included.
         int minCalls;
     };
     const row rows[] = { { 600, 20, 15 }, { 2400, 9, 5 } };
     for (const row& item : rows) {
         table_watch watch = makeCompleteWatch();
-        watch.settings.longestRetry = std::chrono::milliseconds(item.longestRetryMs);
+        watch.settings.maxRetryDelay = std::chrono::milliseconds(item.maxRetryDelayMs);
         int calls = 0;
         for (int now = 0; now < 10000; now += 10) {
             if (!nextQuery(watch, at(now)))
                 continue;
             ++calls;
-            takeAnswer(watch, makeFailure(call_outcome::Refused), at(now));
+            handleAnswer(watch, makeFailure(call_outcome::Refused), at(now));
         }
         CHECK(calls <= item.maxCalls);
         CHECK(calls >= item.minCalls);
