--- a/Source/Filbertreeld/Node.cpp
+++ b/Source/Filbertreeld/Node.cpp
@@ -132,15 +132,15 @@
         outlets.callTable = makeTableCaller();
         outlets.publish = [this](std::shared_ptr<const Configuration::configuration> state) {
             static_cast<void>(dispatch.submit(Dispatch::configuration_published { state }));
-            static_cast<void>(rollout.submit(Rollout::configuration_seen { state }));
-            static_cast<void>(peers.submit(Membership::configuration_moved { state->version }));
+            static_cast<void>(rollout.submit(Rollout::configuration_changed { state }));
+            static_cast<void>(peers.submit(Membership::configuration_changed { state->version }));
             static_cast<void>(entry.submit(Entry::configuration_changed { std::move(state) }));
         };
         outlets.tellPeers = [this](const std::vector<Configuration::change>& changes) {
             static_cast<void>(peers.submit(Membership::push_changes { changes }));
         };
         outlets.pullFromPeers = [this](Common::config_version after) { static_cast<void>(peers.submit(Membership::pull_changes { after })); };
-        outlets.answerPeer = [this](const Configuration::answer_peer& reply) { static_cast<void>(peers.submit(Membership::give_changes { reply })); };
+        outlets.answerPeer = [this](const Configuration::answer_peer& reply) { static_cast<void>(peers.submit(Membership::reply_changes { reply })); };
         outlets.answerOperator = makeOperatorResponder();
         return outlets;
     }
@@ -149,14 +149,14 @@
     {
         Endpoints::endpoints_outlets outlets;
         outlets.publishEndpoints = [this](const Endpoints::publish_endpoints& published) {
-            static_cast<void>(dispatch.submit(Dispatch::endpoints_published { published.usable, published.sharingNodes }));
+            static_cast<void>(dispatch.submit(Dispatch::endpoints_published { published.usable, published.nodesPerEndpoint }));
             static_cast<void>(entry.submit(Entry::endpoints_changed { published.usable }));
         };
         outlets.publishLoad = [this](const Endpoints::load_report& report) { static_cast<void>(dispatch.submit(Dispatch::load_published { report })); };
-        outlets.tellPeersLeaving = [this](const Common::endpoint_id& id) { static_cast<void>(peers.submit(Membership::push_leaving { id })); };
-        outlets.tellPeersInstances = [this](const std::vector<Endpoints::instance_info>& instances) { static_cast<void>(peers.submit(Membership::push_instances { instances })); };
-        outlets.tellPeerLoads = [this](const Common::node_id& node, const std::vector<Endpoints::load_report>& reports) {
-            static_cast<void>(peers.submit(Membership::give_loads { node, reports }));
+        outlets.broadcastLeaving = [this](const Common::endpoint_id& id) { static_cast<void>(peers.submit(Membership::push_endpoint_leaving { id })); };
+        outlets.broadcastInstances = [this](const std::vector<Endpoints::instance_info>& instances) { static_cast<void>(peers.submit(Membership::push_instances { instances })); };
+        outlets.sendLoads = [this](const Common::node_id& node, const std::vector<Endpoints::load_report>& reports) {
+            static_cast<void>(peers.submit(Membership::send_loads { node, reports }));
         };
         outlets.publishEntries = [this](const std::vector<Endpoints::instance_info>& entryNodes) { handleEntryNodes(entryNodes); };
         return outlets;
@@ -174,7 +174,7 @@
 
     void handleEntryNodes(const std::vector<Endpoints::instance_info>& entryNodes)
     {
-        Membership::seeds_known seeds;
+        Membership::seeds_changed seeds;
         for (const Endpoints::instance_info& instance : entryNodes) {
             if (instance.id.value == settings.node.value && instance.isLeaving)
                 isTerminationAnnounced = true;
@@ -187,7 +187,7 @@
     Dispatch::dispatch_outlets makeDispatchOutlets()
     {
         Dispatch::dispatch_outlets outlets;
-        outlets.tellCallers = [this](std::vector<Dispatch::caller_action>& actions) {
+        outlets.sendToCallers = [this](std::vector<Dispatch::caller_action>& actions) {
             Entry::entry_message message = Entry::caller_actions { std::move(actions) };
             if (entry.submit(std::move(message)))
                 return true;
@@ -195,18 +195,18 @@
             return false;
         };
         outlets.callTable = makeTableCaller();
-        outlets.reportRefused = [this](const Common::endpoint_id& id) {
+        outlets.reportConnectionRefused = [this](const Common::endpoint_id& id) {
             static_cast<void>(endpoints.submit(Endpoints::leaving_notice { id, Endpoints::leaving_source::RefusedConnection }));
         };
-        outlets.observe = [this](Rollout::attempt_observed&& observed) { static_cast<void>(rollout.submit(std::move(observed))); };
-        outlets.offerTransfer = [this](Dispatch::request_transfer&& transfer) { static_cast<void>(peers.submit(Membership::place_transfer { std::move(transfer) })); };
+        outlets.reportRolloutEvent = [this](Rollout::attempt_observed&& observed) { static_cast<void>(rollout.submit(std::move(observed))); };
+        outlets.offerTransfer = [this](Dispatch::request_transfer&& transfer) { static_cast<void>(peers.submit(Membership::offer_transfer { std::move(transfer) })); };
         outlets.acceptTransfer = [this](const Dispatch::accept_transfer& action) {
             static_cast<void>(peers.submit(Membership::confirm_transfer { action.peer, action.request }));
         };
         outlets.confirmHeld = [this](const Dispatch::confirm_held& action) {
             static_cast<void>(peers.submit(Membership::confirm_holder { action.peer, action.request }));
         };
-        outlets.note = [this](const Dispatch::note_event& event) {
+        outlets.recordEvent = [this](const Dispatch::request_event& event) {
             static_cast<void>(audit.submit(Audit::event_noted { std::string(event.event), event.request, event.fields, { Common::wallClockMilliseconds() } }));
         };
         return outlets;
@@ -216,8 +216,8 @@
     {
         Rollout::rollout_outlets outlets;
         outlets.publishShares = [this](const Rollout::publish_shares& shares) { static_cast<void>(dispatch.submit(Dispatch::shares_published { shares })); };
-        outlets.tellEvidence = [this](const Rollout::tell_evidence& evidence) { static_cast<void>(peers.submit(Membership::push_evidence { evidence })); };
-        outlets.tellLatch = [this](const Rollout::tell_latch& latch) { static_cast<void>(peers.submit(Membership::push_latch { latch })); };
+        outlets.broadcastEvidence = [this](const Rollout::broadcast_evidence& evidence) { static_cast<void>(peers.submit(Membership::push_evidence { evidence })); };
+        outlets.broadcastLatch = [this](const Rollout::broadcast_latch& latch) { static_cast<void>(peers.submit(Membership::push_bad_version { latch })); };
         outlets.proposeEnd = [this](const Rollout::propose_end& action) { proposeEnd(action); };
         return outlets;
     }
@@ -245,15 +245,15 @@
         Membership::peer_outlets outlets;
         outlets.publishMembers = [this](const Membership::member_map& members) {
             const std::vector<Endpoints::poller> alive = listPollers(members);
-            static_cast<void>(rollout.submit(Rollout::nodes_counted { alive.size() }));
-            static_cast<void>(endpoints.submit(Endpoints::pollers_known { alive }));
+            static_cast<void>(rollout.submit(Rollout::node_count_changed { alive.size() }));
+            static_cast<void>(endpoints.submit(Endpoints::pollers_changed { alive }));
             static_cast<void>(entry.submit(Entry::members_changed { members }));
         };
-        outlets.tellConfiguration = [this](Configuration::chain_message&& message) { static_cast<void>(configuration.submit(std::move(message))); };
-        outlets.tellEndpoints = [this](Endpoints::table_message&& message) { static_cast<void>(endpoints.submit(std::move(message))); };
-        outlets.tellRollout = [this](Rollout::rollout_message&& message) { static_cast<void>(rollout.submit(std::move(message))); };
-        outlets.tellDispatch = [this](Dispatch::dispatch_message&& message) { static_cast<void>(dispatch.submit(std::move(message))); };
-        outlets.located = [this](const Common::request_id& request, const std::string& address) {
+        outlets.sendToConfiguration = [this](Configuration::chain_message&& message) { static_cast<void>(configuration.submit(std::move(message))); };
+        outlets.sendToEndpoints = [this](Endpoints::table_message&& message) { static_cast<void>(endpoints.submit(std::move(message))); };
+        outlets.sendToRollout = [this](Rollout::rollout_message&& message) { static_cast<void>(rollout.submit(std::move(message))); };
+        outlets.sendToDispatch = [this](Dispatch::dispatch_message&& message) { static_cast<void>(dispatch.submit(std::move(message))); };
+        outlets.holderLocated = [this](const Common::request_id& request, const std::string& address) {
             static_cast<void>(entry.submit(Entry::request_located { request, address }));
         };
         return outlets;
@@ -262,9 +262,9 @@
     Entry::entry_outlets makeEntryOutlets()
     {
         Entry::entry_outlets outlets;
-        outlets.tellDispatch = [this](Dispatch::dispatch_message&& message) { return dispatch.submit(std::move(message)); };
-        outlets.tellConfiguration = [this](Configuration::chain_message&& message) { return configuration.submit(std::move(message)); };
-        outlets.tellAudit = [this](Audit::audit_message&& message) { return audit.submit(std::move(message)); };
+        outlets.sendToDispatch = [this](Dispatch::dispatch_message&& message) { return dispatch.submit(std::move(message)); };
+        outlets.sendToConfiguration = [this](Configuration::chain_message&& message) { return configuration.submit(std::move(message)); };
+        outlets.sendToAudit = [this](Audit::audit_message&& message) { return audit.submit(std::move(message)); };
         outlets.findHolder = [this](const Common::request_id& request) { static_cast<void>(peers.submit(Membership::find_holder { request })); };
         return outlets;
     }
@@ -333,7 +333,7 @@
     const auto timeUntilHandover = std::chrono::duration_cast<std::chrono::milliseconds>(self.settings.notice * handoverShareOfNotice);
     Common::logEvent(Common::log_level::Info, "node_leaving", { { "notice_ms", self.settings.notice.count() } });
     static_cast<void>(self.entry.submit(Entry::leaving_begun {}));
-    static_cast<void>(self.peers.submit(Membership::leave_begun {}));
+    static_cast<void>(self.peers.submit(Membership::leave_started {}));
     self.waitUntil(std::min(leaveStart + self.settings.addressTimeToLive + addressTtlMargin, leaveStart + timeUntilHandover), false);
     static_cast<void>(self.dispatch.submit(Dispatch::drain_begun {}));
     std::this_thread::sleep_for(4 * leavePollInterval);
--- a/Source/Filbertreeld/PlatformNode.cpp
+++ b/Source/Filbertreeld/PlatformNode.cpp
@@ -42,12 +42,12 @@
     {
         Fleet::node_entry entry;
         entry.node = facts.node;
-        entry.callersAddress = facts.listen.callers;
+        entry.clientAddress = facts.listen.callers;
         entry.peerAddress = facts.ip + ":" + std::to_string(facts.firstPeerPort);
         entry.zone = facts.zone;
         entry.region = facts.region;
         entry.incarnation = incarnation;
-        entry.coreShare = facts.limits.coreShare;
+        entry.cores = facts.limits.cores;
         return entry;
     }
 
@@ -57,7 +57,7 @@
         Membership::peer_settings settings;
         settings.self.id = entry.node;
         settings.self.peerAddress = entry.peerAddress;
-        settings.self.httpAddress = entry.callersAddress;
+        settings.self.httpAddress = entry.clientAddress;
         settings.self.zone = entry.zone;
         settings.self.region = entry.region;
         settings.self.incarnation = incarnation;
@@ -73,7 +73,7 @@
         if (!facts.listen.directory.empty() && facts.listen.directory != facts.listen.readiness)
             settings.listen.push_back(facts.listen.directory);
         settings.listen.push_back(facts.ip + ":" + std::to_string(facts.lastPeerPort));
-        settings.addressLife = std::min(addressTimeToLive, facts.bounds.longestAddressLife);
+        settings.addressLife = std::min(addressTimeToLive, facts.bounds.maxAddressTtl);
         settings.format = PlatformAdapter::makeDirectoryFormat();
         return settings;
     }
@@ -110,29 +110,29 @@
         Gateway::gateway_outlets outlets;
         outlets.report = [this](Gateway::interval_report&& report) {
             static_cast<void>(peers.submit(Membership::push_grants { report.grants, report.demand }));
-            static_cast<void>(control.submit(Control::interval_seen { std::move(report) }));
+            static_cast<void>(control.submit(Control::gateway_interval_reported { std::move(report) }));
         };
-        outlets.attemptSeen = [this](Gateway::attempt_seen&& seen) { static_cast<void>(control.submit(std::move(seen))); };
+        outlets.reportAttempt = [this](Gateway::attempt_report&& seen) { static_cast<void>(control.submit(std::move(seen))); };
         return outlets;
     }
 
     Control::control_outlets makeControlOutlets()
     {
         Control::control_outlets outlets;
-        outlets.tellGateway = [this](Gateway::gateway_message&& message) {
-            if (std::holds_alternative<Gateway::catalog_known>(message) && !isLeaving)
+        outlets.sendToGateway = [this](Gateway::gateway_message&& message) {
+            if (std::holds_alternative<Gateway::catalog_update>(message) && !isLeaving)
                 directory.setReady(true);
             static_cast<void>(gateway.submit(std::move(message)));
         };
         outlets.publishNodes = [this](const Fleet::node_map& nodes) { publishNodes(nodes); };
-        outlets.tellPeersLeaving = [this](const Fleet::endpoint& endpoint) { static_cast<void>(peers.submit(Membership::push_leaving { endpoint.id, endpoint.started.value })); };
-        outlets.tellPeersCatalog = [this](uint64_t version) { static_cast<void>(peers.submit(Membership::configuration_moved { { version } })); };
-        outlets.askPeersCatalog = [this](uint64_t after) { static_cast<void>(peers.submit(Membership::pull_catalog { after })); };
-        outlets.givePeerCatalog = [this](const Common::node_id& peer, uint64_t version, std::string text) {
-            static_cast<void>(peers.submit(Membership::give_catalog { peer, version, std::move(text) }));
+        outlets.broadcastLeaving = [this](const Fleet::endpoint& endpoint) { static_cast<void>(peers.submit(Membership::push_endpoint_leaving { endpoint.id, endpoint.started.value })); };
+        outlets.announceCatalog = [this](uint64_t version) { static_cast<void>(peers.submit(Membership::configuration_changed { { version } })); };
+        outlets.requestCatalog = [this](uint64_t after) { static_cast<void>(peers.submit(Membership::pull_catalog { after })); };
+        outlets.sendCatalog = [this](const Common::node_id& peer, uint64_t version, std::string text) {
+            static_cast<void>(peers.submit(Membership::reply_catalog { peer, version, std::move(text) }));
         };
-        outlets.tellPeersEvidence = [this](const Rollout::tell_evidence& evidence) { static_cast<void>(peers.submit(Membership::push_evidence { evidence })); };
-        outlets.tellPeersLatch = [this](const Rollout::tell_latch& latch) { static_cast<void>(peers.submit(Membership::push_latch { latch })); };
+        outlets.broadcastEvidence = [this](const Rollout::broadcast_evidence& evidence) { static_cast<void>(peers.submit(Membership::push_evidence { evidence })); };
+        outlets.broadcastLatch = [this](const Rollout::broadcast_latch& latch) { static_cast<void>(peers.submit(Membership::push_bad_version { latch })); };
         return outlets;
     }
 
@@ -140,34 +140,34 @@
     {
         Membership::peer_outlets outlets;
         outlets.publishMembers = [this](const Membership::member_map& currentMembers) { publishMembers(currentMembers); };
-        outlets.tellConfiguration = [this](Configuration::chain_message&& message) {
+        outlets.sendToConfiguration = [this](Configuration::chain_message&& message) {
             const auto* ahead = std::get_if<Configuration::peer_is_ahead>(&message);
             if (ahead)
-                static_cast<void>(control.submit(Control::newer_catalog_heard { ahead->version.value }));
+                static_cast<void>(control.submit(Control::catalog_version_announced { ahead->version.value }));
         };
-        outlets.tellRollout = [this](Rollout::rollout_message&& message) {
+        outlets.sendToRollout = [this](Rollout::rollout_message&& message) {
             if (auto* evidence = std::get_if<Rollout::peer_evidence>(&message))
                 static_cast<void>(control.submit(std::move(*evidence)));
             if (auto* latch = std::get_if<Rollout::peer_latch>(&message))
                 static_cast<void>(control.submit(std::move(*latch)));
         };
         // On this platform nodes exchange neither endpoint loads nor requests in flight.
-        outlets.tellEndpoints = [](Endpoints::table_message&&) {};
-        outlets.tellDispatch = [](Dispatch::dispatch_message&&) {};
-        outlets.located = [](const Common::request_id&, const std::string&) {};
-        outlets.grantsHeard = [this](Quota::node_report&& report) { static_cast<void>(gateway.submit(Gateway::grants_heard { std::move(report) })); };
-        outlets.demandHeard = [this](Scaling::node_demand&& demand) { static_cast<void>(control.submit(Control::demand_heard { std::move(demand) })); };
-        outlets.startLeavingHeard = [this](const Common::endpoint_id& id, int64_t startedMs) { static_cast<void>(control.submit(Control::leaving_heard { id, { startedMs } })); };
-        outlets.catalogAsked = [this](const Common::node_id& peer, uint64_t after) { static_cast<void>(control.submit(Control::catalog_asked { peer, after })); };
-        outlets.catalogHeard = [this](uint64_t version, std::string&& text) { static_cast<void>(control.submit(Control::catalog_text_heard { version, std::move(text) })); };
+        outlets.sendToEndpoints = [](Endpoints::table_message&&) {};
+        outlets.sendToDispatch = [](Dispatch::dispatch_message&&) {};
+        outlets.holderLocated = [](const Common::request_id&, const std::string&) {};
+        outlets.grantsReceived = [this](Quota::node_report&& report) { static_cast<void>(gateway.submit(Gateway::grants_received { std::move(report) })); };
+        outlets.demandReceived = [this](Scaling::node_demand&& demand) { static_cast<void>(control.submit(Control::peer_demand_received { std::move(demand) })); };
+        outlets.startLeavingReceived = [this](const Common::endpoint_id& id, int64_t startedMs) { static_cast<void>(control.submit(Control::endpoint_leaving_received { id, { startedMs } })); };
+        outlets.catalogRequested = [this](const Common::node_id& peer, uint64_t after) { static_cast<void>(control.submit(Control::catalog_requested { peer, after })); };
+        outlets.catalogReceived = [this](uint64_t version, std::string&& text) { static_cast<void>(control.submit(Control::catalog_received { version, std::move(text) })); };
         return outlets;
     }
 
     /// Called on the control duty's thread.
     void publishNodes(const Fleet::node_map& listedNodes)
     {
-        Membership::seeds_known seeds;
-        Gateway::peers_known knownPeers;
+        Membership::seeds_changed seeds;
+        Gateway::peers_update knownPeers;
         for (const auto& [id, entry] : listedNodes) {
             if (id == facts.node)
                 continue;
@@ -219,7 +219,7 @@
     void reportDeadNodes()
     {
         const Common::instant now = std::chrono::steady_clock::now();
-        Control::dead_nodes_known deadNodes;
+        Control::dead_nodes_updated deadNodes;
         for (const auto& [id, member] : members) {
             if (member.status != Membership::member_status::Dead) {
                 deadSince.erase(id);
@@ -269,7 +269,7 @@
 
 void platform_node::reload(const Fleet::node_facts& facts)
 {
-    static_cast<void>(m_implementation->control.submit(Control::settings_changed { facts }));
+    static_cast<void>(m_implementation->control.submit(Control::settings_reloaded { facts }));
 }
 
 void platform_node::checkPeers()
@@ -287,15 +287,15 @@
     Common::logEvent(Common::log_level::Info, "node_leaving", { { "grace_ms", grace.count() } });
     self.isLeaving = true;
     self.directory.setReady(false);
-    static_cast<void>(self.control.submit(Control::leave_begun {}));
-    static_cast<void>(self.gateway.submit(Gateway::leave_begun {}));
-    static_cast<void>(self.peers.submit(Membership::leave_begun {}));
+    static_cast<void>(self.control.submit(Control::leave_started {}));
+    static_cast<void>(self.gateway.submit(Gateway::leave_started {}));
+    static_cast<void>(self.peers.submit(Membership::leave_started {}));
     const auto elapsedShare = [&] { return (std::chrono::steady_clock::now() - leaveStart) / std::chrono::duration<double>(grace); };
     while (elapsedShare() < minLeaveShareOfGrace)
         std::this_thread::sleep_for(leavePollInterval);
     while (elapsedShare() < maxLeaveShareOfGrace && self.gateway.inFlight() > 0)
         std::this_thread::sleep_for(leavePollInterval);
-    static_cast<void>(self.control.submit(Control::leave_ended {}));
+    static_cast<void>(self.control.submit(Control::leave_finished {}));
     std::this_thread::sleep_for(2 * leavePollInterval);
     Common::logEvent(Common::log_level::Info, "node_left", { { "unfinished", self.gateway.inFlight() } });
 }
--- a/Tests/Golden/Describe.cpp
+++ b/Tests/Golden/Describe.cpp
@@ -57,7 +57,7 @@
     struct message_lines {
         std::string operator()(const caller_request& item) const { return fmt::format("caller {} asks {} {}{}", item.token.value, item.work.name.value, item.path, item.idempotencyKey.empty() ? "" : " key " + item.idempotencyKey); }
         std::string operator()(const caller_resume& item) const { return fmt::format("caller {} comes back for {} after {}", item.token.value, item.request.value, item.afterPosition); }
-        std::string operator()(const caller_written& item) const { return item.isAlive ? fmt::format("caller {} took {} bytes", item.token.value, item.bytes) : fmt::format("caller {} is gone", item.token.value); }
+        std::string operator()(const caller_progress& item) const { return item.isAlive ? fmt::format("caller {} took {} bytes", item.token.value, item.bytes) : fmt::format("caller {} is gone", item.token.value); }
         std::string operator()(const attempt_tokens& item) const { return fmt::format("attempt {} gives '{}'", item.attempt.value, shorten(join(item.texts))); }
         std::string operator()(const attempt_ended& item) const { return fmt::format("attempt {} ended {} {} {}", item.attempt.value, nameOf(item.end), item.status, item.finishReason); }
         std::string operator()(const record_reply& item) const
@@ -71,9 +71,9 @@
         std::string operator()(const endpoints_published& item) const { return fmt::format("{} endpoints usable", item.usable->size()); }
         std::string operator()(const load_published& item) const { return fmt::format("load of {}: {} running", item.report.id.value, item.report.running); }
         std::string operator()(const shares_published& item) const { return fmt::format("shares of {} published", item.shares.service); }
-        std::string operator()(const transfer_offered& item) const { return fmt::format("{} offers {} with '{}'", item.from.value, item.item.request.value, join(item.item.tokens)); }
-        std::string operator()(const transfer_taken& item) const { return fmt::format("{} is taken at {}", item.request.value, item.httpAddress); }
-        std::string operator()(const holder_query& item) const { return fmt::format("{} asks who holds {}", item.asker.value, item.request.value); }
+        std::string operator()(const transfer_offered& item) const { return fmt::format("{} offers {} with '{}'", item.from.value, item.transfer.request.value, join(item.transfer.tokens)); }
+        std::string operator()(const transfer_accepted& item) const { return fmt::format("{} is taken at {}", item.request.value, item.httpAddress); }
+        std::string operator()(const holder_query& item) const { return fmt::format("{} asks who holds {}", item.requester.value, item.request.value); }
         std::string operator()(const drain_begun&) const { return "drain begins"; }
         std::string operator()(const handover_begun&) const { return "handover begins"; }
         std::string operator()(const dispatch_tick&) const { return "tick"; }
@@ -95,12 +95,12 @@
         std::string operator()(const locate_request& item) const { return fmt::format("look for {} for caller {}", item.request.value, item.token.value); }
         std::string operator()(const write_record& item) const { return fmt::format("write {}", describe(item.put)); }
         std::string operator()(const read_record& item) const { return fmt::format("read {}/{}", item.key.partition, item.key.sort); }
-        std::string operator()(const observe_attempt& item) const { return fmt::format("observe {} at {}", static_cast<int>(item.observed.event), item.observed.version.value); }
-        std::string operator()(const report_refused& item) const { return fmt::format("report {} as unreachable", item.endpoint.value); }
-        std::string operator()(const offer_transfer& item) const { return fmt::format("offer {} with '{}'", item.item.request.value, join(item.item.tokens)); }
+        std::string operator()(const report_rollout_event& item) const { return fmt::format("observe {} at {}", static_cast<int>(item.observed.event), item.observed.version.value); }
+        std::string operator()(const report_connection_refused& item) const { return fmt::format("report {} as unreachable", item.endpoint.value); }
+        std::string operator()(const offer_transfer& item) const { return fmt::format("offer {} with '{}'", item.transfer.request.value, join(item.transfer.tokens)); }
         std::string operator()(const accept_transfer& item) const { return fmt::format("tell {} that {} is taken", item.peer.value, item.request.value); }
         std::string operator()(const confirm_held& item) const { return fmt::format("tell {} that {} is here", item.peer.value, item.request.value); }
-        std::string operator()(const note_event& item) const { return fmt::format("note {} {} {}", item.event, item.request.value, item.fields.is_null() ? "{}" : item.fields.dump()); }
+        std::string operator()(const request_event& item) const { return fmt::format("note {} {} {}", item.event, item.request.value, item.fields.is_null() ? "{}" : item.fields.dump()); }
     };
 
     std::string describeChange(const Configuration::change& item)
--- a/Tests/Golden/Sessions.cpp
+++ b/Tests/Golden/Sessions.cpp
@@ -45,7 +45,7 @@
         cluster.deliver("a", summaryRequest(1));
         cluster.advanceClock(milliseconds(40));
         cluster.deliver("a", attempt_tokens { { 1 }, { "one ", "two " } });
-        cluster.deliver("a", caller_written { { 1 }, 8, true });
+        cluster.deliver("a", caller_progress { { 1 }, 8, true });
         cluster.advanceClock(milliseconds(20));
         cluster.deliver("a", attempt_tokens { { 1 }, { "three " } });
         cluster.deliver("a", finished(1));
@@ -71,7 +71,7 @@
         cluster.addNode("a");
         cluster.deliver("a", summaryRequest(1));
         cluster.deliver("a", attempt_tokens { { 1 }, { "one ", "two " } });
-        cluster.deliver("a", caller_written { { 1 }, 0, false });
+        cluster.deliver("a", caller_progress { { 1 }, 0, false });
         cluster.deliver("a", attempt_tokens { { 1 }, { "three " } });
         cluster.advanceClock(milliseconds(500));
         cluster.remark("another account may not have it");
@@ -91,8 +91,8 @@
         cluster.deliver("a", attempt_tokens { { 1 }, { std::string(nearlyFull, 'y') } });
         cluster.advanceClock(seconds(10));
         cluster.deliver("a", dispatch_tick {});
-        cluster.deliver("a", caller_written { { 1 }, nearlyFull, true });
-        cluster.deliver("a", caller_written { { 1 }, nearlyFull, true });
+        cluster.deliver("a", caller_progress { { 1 }, nearlyFull, true });
+        cluster.deliver("a", caller_progress { { 1 }, nearlyFull, true });
         cluster.deliver("a", finished(1));
     }
 
@@ -108,7 +108,7 @@
         cluster.remark("from the offer on the old engine's tokens reach nobody");
         cluster.deliver("a", attempt_tokens { { 1 }, { "late " } });
         cluster.deliver("b", transfer_offered { { "a" }, { { "a.1.1" }, { "depot-east" }, { "summary" }, summaryRequest(0).body, { "one ", "two " }, true } });
-        cluster.deliver("a", transfer_taken { { "a.1.1" }, "b:80" });
+        cluster.deliver("a", transfer_accepted { { "a.1.1" }, "b:80" });
         cluster.deliver("b", caller_resume { { 7 }, { "depot-east" }, { "a.1.1" }, 2, true });
         cluster.deliver("b", attempt_tokens { { 1 }, { "three " } });
         cluster.deliver("b", finished(1));
@@ -123,7 +123,7 @@
         cluster.advanceClock(seconds(2));
         cluster.deliver("a", dispatch_tick {});
         cluster.remark("the answer to the old offer comes too late: the request has gone on here");
-        cluster.deliver("a", transfer_taken { { "a.1.1" }, "b:80" });
+        cluster.deliver("a", transfer_accepted { { "a.1.1" }, "b:80" });
         cluster.deliver("a", attempt_tokens { { 2 }, { "two " } });
         cluster.deliver("a", finished(2));
     }
--- a/Tests/Platform/GatewayTest.cpp
+++ b/Tests/Platform/GatewayTest.cpp
@@ -79,7 +79,7 @@
         settings.facts.isFirstStart = true;
         settings.wire = PlatformAdapter::makeWireFormat();
         duty = std::make_unique<Gateway::gateway_duty>(settings, Gateway::gateway_outlets { [](Gateway::interval_report&&) {}, {} });
-        Gateway::endpoints_known message;
+        Gateway::endpoints_update message;
         for (const auto& script : scripts) {
             endpoints.push_back(std::make_unique<scripted_endpoint>(script));
             Fleet::endpoint item;
@@ -91,7 +91,7 @@
             message.endpoints[item.id] = item;
         }
         if (hasCatalog)
-            static_cast<void>(duty->submit(Gateway::catalog_known { makeCatalog() }));
+            static_cast<void>(duty->submit(Gateway::catalog_update { makeCatalog() }));
         static_cast<void>(duty->submit(std::move(message)));
         thread = std::thread([this] { duty->run(); });
         waitUntilListening();
--- a/scripts/mutations.py
+++ b/scripts/mutations.py
@@ -71,7 +71,7 @@
     ("forgiving one's own pause", "Source/Core/Membership/Members.cpp",
      "        if (!wasPaused)\n            return;", "        return;",
      ["Source/Core/Membership/MembershipTests"]),
-    ("judging a version", "Source/Core/Rollout/Judgement.cpp",
+    ("judging a version", "Source/Core/Rollout/VersionComparison.cpp",
      "        if (candidateBad < minBadEvents || candidateTotal == 0)\n            return false;", "        return false;",
      ["Source/Core/Rollout/RolloutTests"]),
 ]
